--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -41,7 +41,7 @@
 	rates    *rates
 	placer   *placing.Placer
 	needs    *budget.Needs
-	doors    *pressure.Doors
+	doors    *pressure.Throttles
 	owner    *owner
 	peers    *peer.Node
 	repeats  *repeats
--- a/internal/app/router/beats.go
+++ b/internal/app/router/beats.go
@@ -157,9 +157,9 @@
 	seen, work := r.owner.tell(leaving, now)
 	out := collect.Beat{
 		From: r.settings.Peers, Version: version(view), Revision: view.Revision, StoreAge: r.control.fresh.Age(now),
-		Up: now.Sub(b.began), Counts: r.quota.Tell(now),
+		Up: now.Sub(b.began), Counts: r.quota.Report(now),
 		Report: demand.Report{
-			Daemons: 1, Services: map[string]demand.Service{r.settings.Service: seen}, Lanes: r.shedder.Asked(now), Repeats: r.repeats.Tell(now),
+			Daemons: 1, Services: map[string]demand.Service{r.settings.Service: seen}, Lanes: r.shedder.Demand(now), Repeats: r.repeats.Report(now),
 		},
 		Work: map[string]collect.Work{r.settings.Service: work}, Calls: r.owner.runs.Calls(),
 	}
@@ -237,14 +237,14 @@
 	}
 	b.settled = b.settled || back.Word.Settled
 	if back.Word.Settled {
-		b.router.quota.Hear(back.Word.Rates, made)
+		b.router.quota.Apply(back.Word.Rates, made)
 	}
 	without := b.router.settings.Without
 	if !without.Has(mechanism.Plan) {
-		b.router.shedder.Hear(back.Word.Parts, made)
+		b.router.shedder.Apply(back.Word.Parts, made)
 	}
-	if !without.Has(mechanism.LentRepeats) {
-		b.router.repeats.Hear(back.Grants, own.Report.Repeats, sent)
+	if !without.Has(mechanism.LentRetries) {
+		b.router.repeats.Apply(back.Grants, own.Report.Repeats, sent)
 	}
 	b.router.metrics.Gauge(telemetry.WordAge).Update(time.Since(made).Seconds())
 	b.mu.Lock()
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -203,12 +203,12 @@
 	r := c.router
 	v := c.catalog.View(r.view.Load())
 	r.view.Store(v)
-	r.chooser.Observe(c.catalog.Instances(), now)
+	r.chooser.SetInstances(c.catalog.Instances(), now)
 	own, known := v.At(r.settings.Instance)
 	r.owner.observe(own, known)
 	daemons := len(v.Hosts())
-	r.quota.Share(daemons)
-	r.repeats.Share(daemons)
+	r.quota.SetDaemons(daemons)
+	r.repeats.SetDaemons(daemons)
 	r.metrics.Gauge(telemetry.ListVersion).Update(float64(version(v)))
 }
 
--- a/internal/app/router/front.go
+++ b/internal/app/router/front.go
@@ -41,8 +41,8 @@
 	parent *lineage.Run
 	repeat bool
 	rank   shed.Rank
-	shed   shed.Verdict
-	quota  quota.Verdict
+	shed   shed.Decision
+	quota  quota.Decision
 	trail  trail
 	// fullness and callRefused are what the offers brought back: see ran.
 	fullness    float64
@@ -61,7 +61,7 @@
 		r.report(q, answer)
 		cancel()
 		if answer.Outcome == call.NotRun && q.organisation != "" {
-			r.quota.GiveBack(q.organisation, q.quota)
+			r.quota.Refund(q.organisation, q.quota)
 		}
 	}
 	r.conclude(q, answer)
@@ -134,7 +134,7 @@
 	}
 	if q.organisation != "" {
 		q.quota = r.quota.Admit(q.organisation, q.begun)
-		if q.quota.Ahead {
+		if q.quota.Surge {
 			r.beats.soon(q.begun)
 		}
 		if !q.quota.Admitted {
@@ -142,32 +142,34 @@
 		}
 	}
 	if q.shed = r.shedder.Admit(q.lane(), q.route.Target, q.begun); !q.shed.Admitted {
-		r.quota.GiveBack(q.organisation, q.quota)
+		r.quota.Refund(q.organisation, q.quota)
 		return call.Refuse(call.Overloaded, q.shed.RetryAfter), false
 	}
 	return call.Answer{}, true
 }
 
-func (q *request) lane() shed.Lane { return shed.Lane{Route: q.root, Service: q.service, Rank: q.rank} }
+func (q *request) lane() shed.Class {
+	return shed.Class{Route: q.root, Service: q.service, Rank: q.rank}
+}
 
 // adopt takes over what a nested request inherits from the run that it belongs to.
 func (q *request) adopt(parent *lineage.Run) {
 	if parent == nil {
 		return
 	}
-	q.parent, q.root, q.repeat, q.priority = parent, parent.Root, parent.Repeat, parent.Priority
+	q.parent, q.root, q.repeat, q.priority = parent, parent.Root, parent.Retry, parent.Priority
 }
 
 // report tells those above the request how full the services on its way were: the front, or the run that made the call.
 func (r *Router) report(q *request, a call.Answer) {
 	switch {
 	case q.parent != nil:
-		q.parent.Report(q.service, q.fullness, q.callRefused)
+		q.parent.Observe(q.service, q.fullness, q.callRefused)
 		if a.Reason != call.Cancelled && (a.Outcome != call.Whole || a.Status >= statusFailed) {
 			r.owner.runs.CallFailed(q.parent, q.route.Name, time.Now())
 		}
 	case !q.nested:
-		r.shedder.Report(q.lane(), q.fullness, q.callRefused, time.Now())
+		r.shedder.Observe(q.lane(), q.fullness, q.callRefused, time.Now())
 	}
 }
 
--- a/internal/app/router/owner.go
+++ b/internal/app/router/owner.go
@@ -39,7 +39,7 @@
 	fullSum   float64
 	fullCount int
 	// held is for how long requests of each route have held slots since the last beat.
-	held map[string]allot.Held
+	held map[string]allot.HoldTime
 	// seen and wasted count what reached the instance and what has to be sent again, since the last beat.
 	seen, wasted int
 	// lost is when the instance last took no connection; zero once it has answered since.
@@ -61,7 +61,7 @@
 )
 
 func newOwner(s Settings, heads Heads) *owner {
-	o := &owner{heads: heads, instance: instance.New(s.Instance), runs: lineage.New(), drainTime: s.DrainTime, without: s.Without, held: map[string]allot.Held{}}
+	o := &owner{heads: heads, instance: instance.New(s.Instance), runs: lineage.New(), drainTime: s.DrainTime, without: s.Without, held: map[string]allot.HoldTime{}}
 	o.gate = newGate(unknownSlots)
 	return o
 }
@@ -160,7 +160,7 @@
 	t := &admission.Ticket{Organisation: m.Organisation, Operation: m.Route, Weight: 1, Priority: m.Priority, Deadline: deadline}
 	if m.Nested {
 		t.Priority++
-		if o.without.Has(mechanism.RankedCalls) {
+		if o.without.Has(mechanism.RankedSubcalls) {
 			t.Priority = call.Nested
 		}
 		t.Weight = nestedWeight
@@ -200,7 +200,7 @@
 		o.lost = time.Time{}
 	}
 	h := o.held[m.Route]
-	o.held[m.Route] = allot.Held{Route: m.Route, Seconds: h.Seconds + took.Seconds(), Count: h.Count + 1}
+	o.held[m.Route] = allot.HoldTime{Route: m.Route, Seconds: h.Seconds + took.Seconds(), Count: h.Count + 1}
 }
 
 // wasted reports whether the request reached the instance in vain and may be sent once more.
--- a/internal/app/router/place.go
+++ b/internal/app/router/place.go
@@ -23,22 +23,22 @@
 	r.account(q)
 	course := offers.New(q.route.Attempts, offers.Without(r.settings.Without))
 	last := call.Refuse(call.NoUpstream, noInstanceWait)
-	for course.Open() {
+	for course.CanRetry() {
 		now := time.Now()
 		if ctx.Err() != nil || !now.Before(q.deadline) {
 			return overdue(ctx, last)
 		}
-		if course.Seen() && !r.repeats.Spend(q.service, q.priority, now) {
+		if course.Delivered() && !r.repeats.Spend(q.service, q.priority, now) {
 			return last
 		}
-		from, behind := course.From(r.candidates(q.service))
+		from, behind := course.Candidates(r.candidates(q.service))
 		i, ok := r.chooser.Pick(from, behind, q.deadline.Sub(now), now)
 		if !ok {
 			return last
 		}
-		q.repeat = q.repeat || course.Seen()
+		q.repeat = q.repeat || course.Delivered()
 		done := r.offer(ctx, q, i)
-		course.Done(i.ID, done.ending, done.arrived)
+		course.Record(i.ID, done.ending, done.arrived)
 		last = final(last, done.answer)
 		if !r.goesOn(q, done) {
 			return last
@@ -115,7 +115,7 @@
 // offered is how an offer to one instance ended.
 type offered struct {
 	answer     call.Answer
-	ending     choice.Ending
+	ending     choice.Result
 	arrived    bool
 	callFailed bool
 }
@@ -139,7 +139,7 @@
 		back = unanswered(ctx, err)
 	}
 	e := ending(back, err)
-	r.chooser.Done(i, e, now.Sub(begun), back.Load, now)
+	r.chooser.Record(i, e, now.Sub(begun), back.Load, now)
 	q.trail.add(i, e, back, now.Sub(begun))
 	q.meet(back)
 	return offered{
@@ -189,7 +189,7 @@
 }
 
 // ending tells the chooser what the end of an offer says of the instance.
-func ending(back ran, err error) choice.Ending {
+func ending(back ran, err error) choice.Result {
 	switch {
 	case err != nil && back.Outcome == call.NotRun && back.Reason != call.Cancelled:
 		return choice.Unreachable
@@ -205,7 +205,7 @@
 	case call.NoUpstream, call.Draining:
 		return choice.Unreachable
 	case call.UpstreamShed:
-		return choice.TurnedAway
+		return choice.Declined
 	case call.Overloaded, call.DeadlineTooNear:
 		return choice.Refused
 	case call.AnswerLost, call.TimedOut:
--- a/internal/app/router/record.go
+++ b/internal/app/router/record.go
@@ -31,7 +31,7 @@
 	Limit    int    `json:"limit"`
 }
 
-func (t *trail) add(i routing.Instance, e choice.Ending, back ran, took time.Duration) {
+func (t *trail) add(i routing.Instance, e choice.Result, back ran, took time.Duration) {
 	s := step{
 		Instance: i.ID, Ending: e.String(), Status: back.Status, TookMs: took.Milliseconds(), WaitedMs: back.Waited.Milliseconds(),
 		InFlight: back.Load.InFlight, Queued: back.Load.Queued, Limit: back.Load.Limit,
@@ -66,13 +66,13 @@
 		fields["retryAfterMs"] = a.RetryAfter.Milliseconds()
 	}
 	if a.Reason == call.OverRate {
-		fields["demand"], fields["rate"], fields["openShare"] = q.quota.Demand, q.quota.Rate, q.quota.Open
+		fields["demand"], fields["rate"], fields["openShare"] = q.quota.Demand, q.quota.Rate, q.quota.AdmitFraction
 		if q.quota.Age >= 0 {
 			fields["demandAgeMs"] = q.quota.Age.Milliseconds()
 		}
 	}
-	if q.shed.Share > 0 {
-		fields["turnedAwayShare"], fields["planAgeMs"] = q.shed.Share, q.shed.Age.Milliseconds()
+	if q.shed.RejectFraction > 0 {
+		fields["turnedAwayShare"], fields["planAgeMs"] = q.shed.RejectFraction, q.shed.Age.Milliseconds()
 	}
 	if len(q.trail) > 0 {
 		fields["offers"] = q.trail
--- a/internal/app/router/router.go
+++ b/internal/app/router/router.go
@@ -36,7 +36,7 @@
 	peers   *peer.Node
 
 	splitter *split.Splitter
-	chooser  *choice.Chooser
+	chooser  *choice.Balancer
 	quota    *quota.Quota
 	repeats  *repeats.Budget
 	shedder  *shed.Shedder
--- a/internal/app/router/send.go
+++ b/internal/app/router/send.go
@@ -23,12 +23,12 @@
 	o.heads.Forward(header, Forwarded{
 		RequestID: m.RequestID, Timeout: deadline.Sub(now), Instance: m.Instance.ID, Organisation: m.Organisation, CallerService: m.CallerService,
 	})
-	run := &lineage.Run{Route: m.Route, Root: m.Root, Priority: m.Priority, Repeat: m.Repeat}
+	run := &lineage.Run{Route: m.Route, Root: m.Root, Priority: m.Priority, Retry: m.Repeat}
 	o.runs.Begin(run, now.Add(deadline.Sub(now).Truncate(time.Millisecond)))
 	out := o.send(ctx, m, header, deadline)
 	o.runs.End(run, out.Outcome == call.Whole && out.Status < statusFailed)
-	out.Fullness, out.CallRefused = run.Met()
-	out.CallFailed = out.Status >= statusFailed && o.runs.Explains(run, time.Now())
+	out.Fullness, out.CallRefused = run.Saturation()
+	out.CallFailed = out.Status >= statusFailed && o.runs.CausedByCall(run, time.Now())
 	return out
 }
 
--- a/internal/app/router/settings.go
+++ b/internal/app/router/settings.go
@@ -35,7 +35,7 @@
 	// Descriptors is how many files and sockets the process may have open, 0 if unknown.
 	Descriptors int
 	// Repeats bounds what all daemons send once more.
-	Repeats repeats.Bounds
+	Repeats repeats.Limits
 	// LeaveTime is how long the platform waits for the process to end after it asked it to.
 	LeaveTime time.Duration
 	// Without are the mechanisms that are switched off.
--- a/internal/decide/admission/gate.go
+++ b/internal/decide/admission/gate.go
@@ -22,7 +22,7 @@
 	queue   queue.Queue[*Ticket]
 	running int
 	held    latencies
-	back    *comeback.Places
+	back    *comeback.Schedule
 
 	longestWait time.Duration
 	length      int
--- a/internal/decide/allot/divide.go
+++ b/internal/decide/allot/divide.go
@@ -29,12 +29,12 @@
 // divide returns the part of each lane that fits into the room; room is used up by it.
 //
 // One part of the room opens all lanes alike, and the rest is shared out by what they need, with more for those that go first.
-func divide(lanes []lane, room map[resource]float64) map[shed.Lane]float64 {
+func divide(lanes []lane, room map[resource]float64) map[shed.Class]float64 {
 	slices.SortFunc(lanes, lane.compare)
-	open := make(map[shed.Lane]float64, len(lanes))
+	open := make(map[shed.Class]float64, len(lanes))
 	fill(lanes, open, shared(room), alike)
 	for _, l := range lanes {
-		take(l, open[l.Lane], room)
+		take(l, open[l.Class], room)
 	}
 	fill(lanes, open, room, lane.claim)
 	return open
@@ -58,25 +58,25 @@
 
 // fill opens the lanes further, in steps that are the smaller the more a lane weighs, until it is open or something that it
 // needs is used up. Weighed by what they need most, lanes whose requests need little are open before those whose need much.
-func fill(lanes []lane, open map[shed.Lane]float64, room map[resource]float64, weigh func(lane, map[resource]float64) float64) {
+func fill(lanes []lane, open map[shed.Class]float64, room map[resource]float64, weigh func(lane, map[resource]float64) float64) {
 	rising := make([]riser, 0, len(lanes))
 	for _, l := range lanes {
 		if l.share(room) == 0 {
-			open[l.Lane] = 1
+			open[l.Class] = 1
 			continue
 		}
 		rising = append(rising, riser{l, weigh(l, room)})
 	}
 	// Each round opens a lane or uses something up; the bound is for what rounding leaves over.
 	for range 2 * (len(lanes) + len(room) + 1) {
-		rising = slices.DeleteFunc(rising, func(r riser) bool { return open[r.Lane] >= 1 || r.stuck(room) })
+		rising = slices.DeleteFunc(rising, func(r riser) bool { return open[r.Class] >= 1 || r.stuck(room) })
 		if len(rising) == 0 {
 			return
 		}
 		step := stepOf(rising, open, room)
 		for _, r := range rising {
-			part := min(step/r.weight, 1-open[r.Lane])
-			open[r.Lane] += part
+			part := min(step/r.weight, 1-open[r.Class])
+			open[r.Class] += part
 			take(r.lane, part, room)
 		}
 	}
@@ -102,11 +102,11 @@
 }
 
 // stepOf returns how far the lanes can rise until a lane is open or something is used up.
-func stepOf(rising []riser, open map[shed.Lane]float64, room map[resource]float64) float64 {
+func stepOf(rising []riser, open map[shed.Class]float64, room map[resource]float64) float64 {
 	step := math.Inf(1)
 	speeds := map[resource]float64{}
 	for _, r := range rising {
-		step = min(step, (1-open[r.Lane])*r.weight)
+		step = min(step, (1-open[r.Class])*r.weight)
 		for what, need := range r.needs {
 			speeds[what] += need / r.weight
 		}
--- a/internal/decide/allot/holds.go
+++ b/internal/decide/allot/holds.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Held is for how long the requests of a route have held slots of one instance since its last word.
-type Held struct {
+// HoldTime is for how long the requests of a route have held slots of one instance since its last word.
+type HoldTime struct {
 	Route   string  `msgpack:"route"`
 	Seconds float64 `msgpack:"seconds"`
 	Count   int     `msgpack:"count"`
@@ -57,7 +57,7 @@
 	return holds{stages: map[stage]*mean{}, hosts: map[stage]map[netip.Addr]*mean{}}
 }
 
-func (h *holds) add(service string, host netip.Addr, all []Held, now time.Time) {
+func (h *holds) add(service string, host netip.Addr, all []HoldTime, now time.Time) {
 	if len(h.stages) > mostStages {
 		*h = newHolds()
 	}
@@ -77,7 +77,7 @@
 	}
 }
 
-func (m *mean) add(held Held, now time.Time) {
+func (m *mean) add(held HoldTime, now time.Time) {
 	fade := math.Exp(-now.Sub(m.at).Seconds() / heldTime.Seconds())
 	m.seconds = m.seconds*fade + held.Seconds
 	m.count = m.count*fade + float64(held.Count)
@@ -90,7 +90,7 @@
 		if m.count == 0 {
 			continue
 		}
-		m.follow(h.fresh(at, s.Instances[at.service]), len(s.Calls[at.route]) > 0, gap)
+		m.follow(h.fresh(at, s.Instances[at.service]), len(s.CallGraph[at.route]) > 0, gap)
 	}
 }
 
--- a/internal/decide/allot/planner.go
+++ b/internal/decide/allot/planner.go
@@ -45,16 +45,16 @@
 // State is what is known of the fleet at one moment.
 type State struct {
 	// Demand is what callers ask for, in requests a second.
-	Demand map[shed.Lane]float64
+	Demand map[shed.Class]float64
 	// Slots are those of the instances that can be used, by service. A service that nobody has told of is not in it.
 	Slots map[string]float64
-	// Fullness is the part of a service's slots that requests found in use, above 1 by how long they had to wait.
-	Fullness map[string]float64
-	Calls    graph.Edges
+	// Saturation is the part of a service's slots that requests found in use, above 1 by how long they had to wait.
+	Saturation map[string]float64
+	CallGraph  graph.Edges
 	// Instances are those whose slots are counted, by service.
 	Instances map[string][]Instance
-	// Repeats are what the fleet may send once more to each service.
-	Repeats map[string]repeats.Word
+	// RetryRates are what the fleet may send once more to each service.
+	RetryRates map[string]repeats.Rates
 	// Shares returns the services of a route with their parts of its requests.
 	Shares func(route string) map[string]float64
 }
@@ -100,8 +100,8 @@
 	return &Planner{held: newHolds(), met: map[string]*waste{}, services: map[string]*service{}}
 }
 
-// Hold takes in for how long requests have held slots of the service's instance on a host.
-func (p *Planner) Hold(service string, host netip.Addr, all []Held, now time.Time) {
+// RecordHoldTimes takes in for how long requests have held slots of the service's instance on a host.
+func (p *Planner) RecordHoldTimes(service string, host netip.Addr, all []HoldTime, now time.Time) {
 	p.held.add(service, host, all, now)
 }
 
@@ -109,12 +109,12 @@
 const nearlyAll = 0.995
 
 // Plan returns the part of each lane that is begun, for the lanes of which it is not all.
-func (p *Planner) Plan(s State, now time.Time) map[shed.Lane]float64 {
+func (p *Planner) Plan(s State, now time.Time) map[shed.Class]float64 {
 	gap := min(now.Sub(p.planned), mostGap)
 	p.planned = now
 	p.held.settle(s, gap)
 	room := p.room(s, gap)
-	for service, fleet := range s.Repeats {
+	for service, fleet := range s.RetryRates {
 		if p.repeats(service) > 0 {
 			room[resource{service, again}] = fleet.Earned
 		}
@@ -140,7 +140,7 @@
 			p.services[name] = v
 		}
 		v.resize(count)
-		v.full = s.Fullness[name]
+		v.full = s.Saturation[name]
 		room[resource{name, slots}] = count * v.correct(gap)
 	}
 	return room
@@ -179,7 +179,7 @@
 
 // lane is a lane with the slots that all of its requests would need, by service.
 type lane struct {
-	shed.Lane
+	shed.Class
 	needs map[resource]float64
 }
 
@@ -193,7 +193,7 @@
 			cost = p.cost(at, s)
 			costs[at] = cost
 		}
-		out := lane{Lane: l, needs: make(map[resource]float64, len(cost))}
+		out := lane{Class: l, needs: make(map[resource]float64, len(cost))}
 		for what, each := range cost {
 			out.needs[what] = each * perSecond
 		}
@@ -206,8 +206,8 @@
 func (p *Planner) cost(at stage, s State) map[resource]float64 {
 	cost := map[resource]float64{}
 	p.add(cost, at, 1)
-	for to, count := range s.Calls[at.route] {
-		for _, leg := range s.Calls.Legs(to, count, s.Shares) {
+	for to, count := range s.CallGraph[at.route] {
+		for _, leg := range s.CallGraph.Legs(to, count, s.Shares) {
 			p.add(cost, stage{leg.Route, leg.Service}, leg.Count)
 		}
 	}
--- a/internal/decide/allot/planner_test.go
+++ b/internal/decide/allot/planner_test.go
@@ -30,7 +30,7 @@
 			}
 			var lanes []lane
 			for n := range 1 + rng.IntN(12) {
-				l := lane{Lane: shed.Lane{Route: fmt.Sprint(n), Rank: shed.Rank{Organisation: rng.IntN(3), Route: rng.IntN(3)}}, needs: map[resource]float64{}}
+				l := lane{Class: shed.Class{Route: fmt.Sprint(n), Rank: shed.Rank{Organisation: rng.IntN(3), Route: rng.IntN(3)}}, needs: map[resource]float64{}}
 				for range 1 + rng.IntN(3) {
 					n := rng.IntN(services + 1)
 					l.needs[resource{fmt.Sprint(n), use(n % 2)}] = rng.Float64() * 60
@@ -45,9 +45,9 @@
 			open := divide(lanes, left)
 			So(len(open), ShouldEqual, len(lanes))
 			for _, l := range lanes {
-				So(open[l.Lane], ShouldBeBetweenOrEqual, 0, 1+1e-9)
+				So(open[l.Class], ShouldBeBetweenOrEqual, 0, 1+1e-9)
 				for name, need := range l.needs {
-					used[name] += need * open[l.Lane]
+					used[name] += need * open[l.Class]
 				}
 			}
 			for name, slots := range room {
@@ -61,7 +61,7 @@
 					}
 				}
 				if spare {
-					So(open[l.Lane], ShouldBeGreaterThan, 1-1e-6)
+					So(open[l.Class], ShouldBeGreaterThan, 1-1e-6)
 				}
 			}
 		}
@@ -71,35 +71,35 @@
 func TestRanks(t *testing.T) {
 	state := func(pay, look float64) State {
 		return State{
-			Demand: map[shed.Lane]float64{
+			Demand: map[shed.Class]float64{
 				{Route: "pay", Service: "pay"}:                                       pay,
 				{Route: "look", Service: "look", Rank: shed.Rank{Organisation: 2}}:   look,
 				{Route: "photo", Service: "photo", Rank: shed.Rank{Organisation: 1}}: 100,
 			},
-			Slots:  map[string]float64{"pay": 1000, "look": 1000, "photo": 1000, "truck": 10},
-			Calls:  graph.Edges{"pay": {"truck": 5}, "look": {"truck": 10}},
-			Shares: single,
+			Slots:     map[string]float64{"pay": 1000, "look": 1000, "photo": 1000, "truck": 10},
+			CallGraph: graph.Edges{"pay": {"truck": 5}, "look": {"truck": 10}},
+			Shares:    single,
 		}
 	}
 	p := New()
 	now := time.Unix(1000, 0)
-	p.Hold("truck", host, []Held{{Route: "truck", Seconds: 1, Count: 100}}, now)
+	p.RecordHoldTimes("truck", host, []HoldTime{{Route: "truck", Seconds: 1, Count: 100}}, now)
 	// A truck call takes 10 ms: a payment 50 ms of the ten slots, a lookup 100 ms.
 	Convey("Where all fits, nobody is turned away", t, func() {
 		So(p.Plan(state(100, 49), now), ShouldBeEmpty)
 	})
 	Convey("Where it doesn't, what goes first has more, the last has its least, and what doesn't need the service all", t, func() {
 		plan := p.Plan(state(100, 200), now)
-		_, cut := plan[shed.Lane{Route: "pay", Service: "pay"}]
+		_, cut := plan[shed.Class{Route: "pay", Service: "pay"}]
 		So(cut, ShouldBeFalse)
-		So(plan[shed.Lane{Route: "look", Service: "look", Rank: shed.Rank{Organisation: 2}}], ShouldBeBetween, 0.19, 0.31)
-		_, cut = plan[shed.Lane{Route: "photo", Service: "photo", Rank: shed.Rank{Organisation: 1}}]
+		So(plan[shed.Class{Route: "look", Service: "look", Rank: shed.Rank{Organisation: 2}}], ShouldBeBetween, 0.19, 0.31)
+		_, cut = plan[shed.Class{Route: "photo", Service: "photo", Rank: shed.Rank{Organisation: 1}}]
 		So(cut, ShouldBeFalse)
 	})
 	Convey("A service whose instances are all gone takes nothing, one that nobody has told of is not in the way", t, func() {
 		s := state(100, 49)
 		s.Slots["truck"] = 0
-		So(p.Plan(s, now)[shed.Lane{Route: "pay", Service: "pay"}], ShouldEqual, 0)
+		So(p.Plan(s, now)[shed.Class{Route: "pay", Service: "pay"}], ShouldEqual, 0)
 		delete(s.Slots, "truck")
 		So(p.Plan(s, now), ShouldBeEmpty)
 	})
@@ -108,11 +108,11 @@
 func TestSlotsAfterAStart(t *testing.T) {
 	// Guards against a service that stands half empty for ten seconds after all daemons have started under load: while nobody knew what
 	// requests cost, it was found to be overfull, and its slots were not believed in from then on.
-	call := shed.Lane{Route: "call", Service: "call"}
+	call := shed.Class{Route: "call", Service: "call"}
 	state := func(full float64) State {
 		return State{
-			Demand: map[shed.Lane]float64{call: 100}, Slots: map[string]float64{"truck": 10}, Fullness: map[string]float64{"truck": full},
-			Calls: graph.Edges{"call": {"truck": 5}}, Shares: single,
+			Demand: map[shed.Class]float64{call: 100}, Slots: map[string]float64{"truck": 10}, Saturation: map[string]float64{"truck": full},
+			CallGraph: graph.Edges{"call": {"truck": 5}}, Shares: single,
 		}
 	}
 	p := New()
@@ -124,7 +124,7 @@
 	var open float64
 	for range 30 {
 		now = now.Add(100 * time.Millisecond)
-		p.Hold("truck", host, []Held{{Route: "truck", Seconds: 1, Count: 25}}, now)
+		p.RecordHoldTimes("truck", host, []HoldTime{{Route: "truck", Seconds: 1, Count: 25}}, now)
 		open = p.Plan(state(0.6), now)[call]
 	}
 	Convey("Three seconds after the costs are known, nine tenths of the slots are given out again", t, func() {
@@ -136,7 +136,7 @@
 // TestInstancesThatChange guards against plans for the instances that are gone: those that are left, which work slower, were filled up to
 // four times their slots, or stood idle in part.
 func TestInstancesThatChange(t *testing.T) {
-	call := shed.Lane{Route: "call", Service: "call"}
+	call := shed.Class{Route: "call", Service: "call"}
 	slow, fast := Instance{host, 10}, Instance{netip.MustParseAddr("10.0.0.2"), 10}
 	state := func(full float64, there ...Instance) State {
 		sum := 0.0
@@ -144,14 +144,14 @@
 			sum += i.Slots
 		}
 		return State{
-			Demand: map[shed.Lane]float64{call: 1000}, Slots: map[string]float64{"leaf": sum}, Fullness: map[string]float64{"leaf": full},
-			Instances: map[string][]Instance{"leaf": there}, Calls: graph.Edges{"call": {"leaf": 1}}, Shares: single,
+			Demand: map[shed.Class]float64{call: 1000}, Slots: map[string]float64{"leaf": sum}, Saturation: map[string]float64{"leaf": full},
+			Instances: map[string][]Instance{"leaf": there}, CallGraph: graph.Edges{"call": {"leaf": 1}}, Shares: single,
 		}
 	}
 	// The slow one does 10 / 0.2 s = 50 a second, the fast one 200.
 	learn := func(p *Planner, now time.Time) {
-		p.Hold("leaf", slow.Host, []Held{{Route: "leaf", Seconds: 20, Count: 100}}, now)
-		p.Hold("leaf", fast.Host, []Held{{Route: "leaf", Seconds: 20, Count: 400}}, now)
+		p.RecordHoldTimes("leaf", slow.Host, []HoldTime{{Route: "leaf", Seconds: 20, Count: 100}}, now)
+		p.RecordHoldTimes("leaf", fast.Host, []HoldTime{{Route: "leaf", Seconds: 20, Count: 400}}, now)
 	}
 	for _, c := range []struct {
 		name  string
--- a/internal/decide/allot/surge_test.go
+++ b/internal/decide/allot/surge_test.go
@@ -22,18 +22,18 @@
 	// full, held and count add up what the service is found to be since the last beat.
 	full, held float64
 	beats      int
-	asked      []map[shed.Lane]float64
+	asked      []map[shed.Class]float64
 	// shown is the fullness of the beat before: what a collector knows is as old as that.
 	shown float64
-	plan  []shed.Part
+	plan  []shed.Allocation
 }
 
 var (
-	lookups  = shed.Lane{Route: "lookup", Service: "front", Rank: shed.Rank{Organisation: 2, Route: 2}}
-	payments = shed.Lane{Route: "payment", Service: "front"}
-	photos   = shed.Lane{Route: "photo", Service: "photos", Rank: shed.Rank{Organisation: 2, Route: 2}}
+	lookups  = shed.Class{Route: "lookup", Service: "front", Rank: shed.Rank{Organisation: 2, Route: 2}}
+	payments = shed.Class{Route: "payment", Service: "front"}
+	photos   = shed.Class{Route: "photo", Service: "photos", Rank: shed.Rank{Organisation: 2, Route: 2}}
 	// work is how long one request of each lane holds a truck's slot, in seconds.
-	work = map[shed.Lane]float64{lookups: 0.15, payments: 0.075, photos: 0}
+	work = map[shed.Class]float64{lookups: 0.15, payments: 0.075, photos: 0}
 )
 
 const (
@@ -57,10 +57,10 @@
 type done struct{ asked, whole float64 }
 
 // step plays one tick of so many requests a second and returns what was finished.
-func (w *world) step(perSecond map[shed.Lane]float64, into map[shed.Lane]*done) {
+func (w *world) step(perSecond map[shed.Class]float64, into map[shed.Class]*done) {
 	w.now = w.now.Add(tick)
 	load := 0.0
-	for _, l := range []shed.Lane{lookups, payments, photos} {
+	for _, l := range []shed.Class{lookups, payments, photos} {
 		for due := perSecond[l] * tick.Seconds(); due > 0; due-- {
 			if due < 1 && w.rng.Float64() >= due {
 				continue
@@ -96,37 +96,37 @@
 // beat tells the collector of everything; what it answers was worked out from the beat before.
 func (w *world) beat() {
 	for n, f := range w.fronts {
-		rates := map[shed.Lane]float64{}
-		for _, r := range f.Asked(w.now) {
-			rates[r.Lane] = r.PerSecond
+		rates := map[shed.Class]float64{}
+		for _, r := range f.Demand(w.now) {
+			rates[r.Class] = r.PerSecond
 		}
 		w.asked[n] = rates
 	}
 	for _, f := range w.fronts {
-		f.Hear(w.plan, w.now)
+		f.Apply(w.plan, w.now)
 	}
-	demand := map[shed.Lane]float64{}
+	demand := map[shed.Class]float64{}
 	for _, rates := range w.asked {
 		for l, perSecond := range rates {
 			demand[l] += perSecond
 		}
 	}
-	w.planner.Hold("trucks", host, []Held{{Route: "leg", Seconds: w.held, Count: int(w.held / truckJob)}}, w.now)
+	w.planner.RecordHoldTimes("trucks", host, []HoldTime{{Route: "leg", Seconds: w.held, Count: int(w.held / truckJob)}}, w.now)
 	w.plan = nil
 	for l, open := range w.planner.Plan(State{
-		Demand: demand, Slots: map[string]float64{"trucks": w.slots}, Fullness: map[string]float64{"trucks": w.shown},
-		Calls: graph.Edges{"lookup": {"leg": 10}, "payment": {"leg": 5}},
+		Demand: demand, Slots: map[string]float64{"trucks": w.slots}, Saturation: map[string]float64{"trucks": w.shown},
+		CallGraph: graph.Edges{"lookup": {"leg": 10}, "payment": {"leg": 5}},
 		Shares: func(route string) map[string]float64 {
 			return map[string]map[string]float64{"leg": {"trucks": 1}}[route]
 		},
 	}, w.now) {
-		w.plan = append(w.plan, shed.Part{Lane: l, Open: open})
+		w.plan = append(w.plan, shed.Allocation{Class: l, AdmitFraction: open})
 	}
 	w.shown, w.full, w.held = w.full/beatGap, 0, 0
 }
 
-func (w *world) play(seconds int, perSecond map[shed.Lane]float64) map[shed.Lane]*done {
-	into := map[shed.Lane]*done{}
+func (w *world) play(seconds int, perSecond map[shed.Class]float64) map[shed.Class]*done {
+	into := map[shed.Class]*done{}
 	for range seconds * int(time.Second/tick) {
 		w.step(perSecond, into)
 	}
@@ -145,10 +145,10 @@
 			paid   float64
 		}{{4, 1.5, 0.9}, {16, 1.5, 0.9}, {72, 1.5, 0.9}, {16, 10, 0.2}, {72, 10, 0.2}} {
 			w := newWorld(c.fronts, 60, 1)
-			usual := map[shed.Lane]float64{lookups: 250, payments: 100, photos: 100}
+			usual := map[shed.Class]float64{lookups: 250, payments: 100, photos: 100}
 			before := w.play(10, usual)
 			So(before[lookups].share(), ShouldBeGreaterThan, 0.98)
-			surge := map[shed.Lane]float64{lookups: 250 * c.times, payments: 100 * c.times, photos: 100}
+			surge := map[shed.Class]float64{lookups: 250 * c.times, payments: 100 * c.times, photos: 100}
 			w.play(2, surge)
 			after := w.play(20, surge)
 			finished := 0.0
@@ -166,9 +166,9 @@
 	// The surge is over, and what it left behind must not keep callers out.
 	Convey("Seconds after the surge nobody is turned away", t, func() {
 		w := newWorld(16, 60, 2)
-		usual := map[shed.Lane]float64{lookups: 250, payments: 100, photos: 100}
+		usual := map[shed.Class]float64{lookups: 250, payments: 100, photos: 100}
 		w.play(5, usual)
-		w.play(10, map[shed.Lane]float64{lookups: 2500, payments: 1000, photos: 100})
+		w.play(10, map[shed.Class]float64{lookups: 2500, payments: 1000, photos: 100})
 		w.play(3, usual)
 		for _, d := range w.play(10, usual) {
 			So(d.share(), ShouldBeGreaterThan, 0.98)
@@ -177,7 +177,7 @@
 	// An instance is lost, and its part of the slots with it.
 	Convey("With fewer slots less is begun, and what is begun is finished", t, func() {
 		w := newWorld(16, 60, 3)
-		usual := map[shed.Lane]float64{lookups: 250, payments: 100, photos: 100}
+		usual := map[shed.Class]float64{lookups: 250, payments: 100, photos: 100}
 		w.play(5, usual)
 		w.slots = 40
 		w.play(2, usual)
--- a/internal/decide/allot/waste.go
+++ b/internal/decide/allot/waste.go
@@ -14,9 +14,9 @@
 // metTime is how long it is remembered how many requests have reached a service's instances in vain.
 const metTime = 400 * time.Millisecond
 
-// Meet takes in how many requests an instance of the service has seen, and how many of them have to be sent again: it turned them
+// RecordDeliveries takes in how many requests an instance of the service has seen, and how many of them have to be sent again: it turned them
 // away, or its answer was lost or a failure of its own.
-func (p *Planner) Meet(service string, seen, wasted int, now time.Time) {
+func (p *Planner) RecordDeliveries(service string, seen, wasted int, now time.Time) {
 	m := p.met[service]
 	if m == nil {
 		m = &waste{at: now}
--- a/internal/decide/choice/choice.go
+++ b/internal/decide/choice/choice.go
@@ -10,18 +10,18 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/routing"
 )
 
-//go:generate stringer -type=Ending -linecomment
+//go:generate stringer -type=Result -linecomment
 
-// Ending is how a request ended at an instance.
-type Ending uint8
+// Result is how a request ended at an instance.
+type Result uint8
 
 const (
 	// Served means that the instance answered without a failure of its own.
-	Served Ending = iota // served
+	Served Result = iota // served
 	// Failed means that the instance ran the request and answered with a failure.
 	Failed // failed
-	// TurnedAway means that the instance itself declined to run the request.
-	TurnedAway // turnedAway
+	// Declined means that the instance itself declined to run the request.
+	Declined // turnedAway
 	// Refused means that the host beside the instance had no room for the request.
 	Refused // refused
 	// Unreachable means that the instance or its host could not be reached.
@@ -32,8 +32,8 @@
 	Withdrawn // withdrawn
 )
 
-// Chooser knows how the instances of all services do, as seen by one daemon.
-type Chooser struct {
+// Balancer knows how the instances of all services do, as seen by one daemon.
+type Balancer struct {
 	mu    sync.Mutex
 	zone  string
 	rand  func() float64
@@ -61,17 +61,17 @@
 }
 
 // Option sets one property of a chooser.
-type Option func(*Chooser)
+type Option func(*Balancer)
 
 // WithRand sets the source of chance, numbers from 0 to 1.
-func WithRand(f func() float64) Option { return func(c *Chooser) { c.rand = f } }
+func WithRand(f func() float64) Option { return func(c *Balancer) { c.rand = f } }
 
 // Without switches mechanisms off.
-func Without(s mechanism.Set) Option { return func(c *Chooser) { c.without = s } }
+func Without(s mechanism.Set) Option { return func(c *Balancer) { c.without = s } }
 
 // New returns a chooser for a daemon in the availability zone.
-func New(zone string, opts ...Option) *Chooser {
-	c := &Chooser{zone: zone, rand: rand.Float64, known: map[routing.Incarnation]*record{}}
+func New(zone string, opts ...Option) *Balancer {
+	c := &Balancer{zone: zone, rand: rand.Float64, known: map[routing.Incarnation]*record{}}
 	for _, opt := range opts {
 		opt(c)
 	}
@@ -117,7 +117,7 @@
 
 // Pick returns the instance for a request that has so much time left, or false if there is none. Instances in tried have had
 // the request already and are taken only where nothing else is left that can be reached.
-func (c *Chooser) Pick(from []routing.Instance, tried map[string]bool, left time.Duration, now time.Time) (routing.Instance, bool) {
+func (c *Balancer) Pick(from []routing.Instance, tried map[string]bool, left time.Duration, now time.Time) (routing.Instance, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	usable := c.usable(from, tried, now)
@@ -155,7 +155,7 @@
 }
 
 // split puts the instances of the own zone first and returns how many there are.
-func (c *Chooser) split(all []routing.Instance) int {
+func (c *Balancer) split(all []routing.Instance) int {
 	near := 0
 	for i := range all {
 		if all[i].Zone == c.zone {
@@ -167,7 +167,7 @@
 }
 
 // best returns the best of some of the instances, drawn by chance.
-func (c *Chooser) best(all []routing.Instance, usual usual, now time.Time) scored {
+func (c *Balancer) best(all []routing.Instance, usual usual, now time.Time) scored {
 	var best scored
 	for n := range min(sample, len(all)) {
 		at := min(n+int(c.rand()*float64(len(all)-n)), len(all)-1)
@@ -181,7 +181,7 @@
 
 // usable returns a fresh list of instances that may get the request: those that take new work and are not known to be
 // away. Only where that leaves none are those that are away tried, since a daemon may be wrong about them.
-func (c *Chooser) usable(from []routing.Instance, tried map[string]bool, now time.Time) []routing.Instance {
+func (c *Balancer) usable(from []routing.Instance, tried map[string]bool, now time.Time) []routing.Instance {
 	ready := make([]routing.Instance, 0, len(from))
 	var away []routing.Instance
 	for i := range from {
@@ -208,7 +208,7 @@
 	faulty float64
 }
 
-func (c *Chooser) usual(all []routing.Instance, now time.Time) usual {
+func (c *Balancer) usual(all []routing.Instance, now time.Time) usual {
 	out := usual{latency: unknownLatency}
 	sum, n := 0.0, 0
 	for i := range all {
@@ -225,7 +225,7 @@
 }
 
 // score is the time that the request is expected to take there, in seconds, with what speaks against the instance on top.
-func (c *Chooser) score(i *routing.Instance, usual usual, now time.Time) scored {
+func (c *Balancer) score(i *routing.Instance, usual usual, now time.Time) scored {
 	r := c.of(i)
 	s := r.latency
 	if s == 0 {
@@ -242,7 +242,7 @@
 	if busy > busyFrom {
 		s *= 1 + busyPenalty*(busy-busyFrom)
 	}
-	if !c.without.Has(mechanism.Faults) {
+	if !c.without.Has(mechanism.FaultAvoidance) {
 		s *= 1 + faultPenalty*max(r.faultyNow(now)-usual.faulty-faultSlack, 0)
 	}
 	return scored{i, s, busy}
@@ -264,8 +264,8 @@
 	return r.faulty * fade(now.Sub(r.judged), faultFade)
 }
 
-// Done takes in how a request that Pick gave out has ended, after how long, and what its host said of its load.
-func (c *Chooser) Done(i routing.Instance, e Ending, took time.Duration, load call.Load, now time.Time) {
+// Record takes in how a request that Pick gave out has ended, after how long, and what its host said of its load.
+func (c *Balancer) Record(i routing.Instance, e Result, took time.Duration, load call.Load, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.of(&i)
@@ -279,7 +279,7 @@
 		r.judge(0, now)
 		r.learn(took.Seconds())
 		r.misses, r.awayUntil = 0, time.Time{}
-	case Failed, TurnedAway, Lost:
+	case Failed, Declined, Lost:
 		r.judge(1, now)
 	case Unreachable:
 		r.awayUntil = now.Add(min(firstAway<<min(r.misses, 5), longestAway))
@@ -301,8 +301,8 @@
 	r.latency += (seconds - r.latency) * latencyWeight
 }
 
-// Observe takes in the instances that exist: starts that are over are forgotten, and new ones are cold for as long as they say.
-func (c *Chooser) Observe(all []routing.Instance, now time.Time) {
+// SetInstances takes in the instances that exist: starts that are over are forgotten, and new ones are cold for as long as they say.
+func (c *Balancer) SetInstances(all []routing.Instance, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	live := make(map[routing.Incarnation]bool, len(all))
@@ -319,7 +319,7 @@
 	}
 }
 
-func (c *Chooser) of(i *routing.Instance) *record {
+func (c *Balancer) of(i *routing.Instance) *record {
 	key := i.Incarnation()
 	r := c.known[key]
 	if r == nil {
--- a/internal/decide/choice/choice_test.go
+++ b/internal/decide/choice/choice_test.go
@@ -22,13 +22,13 @@
 	return all
 }
 
-func chooser() *Chooser {
+func chooser() *Balancer {
 	rng := rand.New(rand.NewPCG(1, 2))
 	return New("z0", WithRand(rng.Float64))
 }
 
 // shares picks so often and returns the part of each instance; each request ends at once as how tells.
-func shares(c *Chooser, from []routing.Instance, begin time.Time, times int, how func(i routing.Instance) (Ending, time.Duration)) map[string]float64 {
+func shares(c *Balancer, from []routing.Instance, begin time.Time, times int, how func(i routing.Instance) (Result, time.Duration)) map[string]float64 {
 	got := map[string]float64{}
 	for n := range times {
 		now := begin.Add(time.Duration(n) * 10 * time.Millisecond)
@@ -37,20 +37,20 @@
 			continue
 		}
 		e, took := how(i)
-		c.Done(i, e, took, call.Load{Limit: 10}, now)
+		c.Record(i, e, took, call.Load{Limit: 10}, now)
 		got[i.ID] += 1 / float64(times)
 	}
 	return got
 }
 
-func served(routing.Instance) (Ending, time.Duration) { return Served, 50 * time.Millisecond }
+func served(routing.Instance) (Result, time.Duration) { return Served, 50 * time.Millisecond }
 
 func TestInstancesThatAreNotWell(t *testing.T) {
 	// An instance fails part of its requests while its health check is good. Callers see errors at random, and nobody takes
 	// it out.
 	Convey("One that fails half of its requests gets few", t, func() {
 		rng := rand.New(rand.NewPCG(3, 4))
-		got := shares(chooser(), instances(3, "z0"), start, 1000, func(i routing.Instance) (Ending, time.Duration) {
+		got := shares(chooser(), instances(3, "z0"), start, 1000, func(i routing.Instance) (Result, time.Duration) {
 			if i.ID == "i0" && rng.Float64() < 0.5 {
 				return Failed, time.Millisecond
 			}
@@ -60,7 +60,7 @@
 	})
 	// An instance turns slow. Every third request waits for it.
 	Convey("One that takes four times as long gets few", t, func() {
-		got := shares(chooser(), instances(3, "z0"), start, 1000, func(i routing.Instance) (Ending, time.Duration) {
+		got := shares(chooser(), instances(3, "z0"), start, 1000, func(i routing.Instance) (Result, time.Duration) {
 			if i.ID == "i0" {
 				return Served, 200 * time.Millisecond
 			}
@@ -72,7 +72,7 @@
 	Convey("One that can't be reached is tried now and then, and taken back once it answers", t, func() {
 		c := chooser()
 		from := instances(3, "z0")
-		dead := shares(c, from, start, 1000, func(i routing.Instance) (Ending, time.Duration) {
+		dead := shares(c, from, start, 1000, func(i routing.Instance) (Result, time.Duration) {
 			if i.ID == "i0" {
 				return Unreachable, time.Millisecond
 			}
@@ -86,7 +86,7 @@
 		c := chooser()
 		from := instances(1, "z0")
 		i, _ := c.Pick(from, nil, time.Second, start)
-		c.Done(i, Unreachable, 0, call.Load{}, start)
+		c.Record(i, Unreachable, 0, call.Load{}, start)
 		_, ok := c.Pick(from, nil, time.Second, start)
 		So(ok, ShouldBeTrue)
 	})
@@ -109,7 +109,7 @@
 		from := instances(4, "z0", "z1")
 		got := shares(c, from, start, 400, served)
 		So(got["i0"]+got["i2"], ShouldBeGreaterThan, 0.9)
-		full := func(i routing.Instance) (Ending, time.Duration) { return Served, 50 * time.Millisecond }
+		full := func(i routing.Instance) (Result, time.Duration) { return Served, 50 * time.Millisecond }
 		away := 0.0
 		for n := range 400 {
 			now := start.Add(time.Minute + time.Duration(n)*time.Millisecond)
@@ -121,7 +121,7 @@
 			} else {
 				away++
 			}
-			c.Done(i, e, took, load, now)
+			c.Record(i, e, took, load, now)
 		}
 		So(away/400, ShouldBeGreaterThan, 0.8)
 	})
@@ -129,9 +129,9 @@
 		c := chooser()
 		from := instances(1, "z0")
 		i, _ := c.Pick(from, nil, time.Second, start)
-		c.Done(i, Unreachable, 0, call.Load{}, start)
+		c.Record(i, Unreachable, 0, call.Load{}, start)
 		from[0].Born = start
-		c.Observe(from, start)
+		c.SetInstances(from, start)
 		So(c.known, ShouldHaveLength, 0)
 	})
 }
--- a/internal/decide/comeback/places.go
+++ b/internal/decide/comeback/places.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Places tells refused requests when to come back, each at a place of its own.
+// Schedule tells refused requests when to come back, each at a place of its own.
 //
 // It is for overload that outlasts a burst. Refused callers that all hear the
 // same time return together, are refused together, and a surge that had ended
 // starts anew. Each refusal is therefore given the next free place in the time
 // to come, at the pace at which requests are served.
-type Places struct {
+type Schedule struct {
 	next time.Time
 	rand func() float64
 }
@@ -27,14 +27,14 @@
 )
 
 // Option sets one property of places.
-type Option func(*Places)
+type Option func(*Schedule)
 
 // WithRand sets the source of jitter, numbers from 0 to 1.
-func WithRand(f func() float64) Option { return func(p *Places) { p.rand = f } }
+func WithRand(f func() float64) Option { return func(p *Schedule) { p.rand = f } }
 
 // New returns places that are all free.
-func New(opts ...Option) *Places {
-	p := &Places{rand: rand.Float64}
+func New(opts ...Option) *Schedule {
+	p := &Schedule{rand: rand.Float64}
 	for _, opt := range opts {
 		opt(p)
 	}
@@ -43,7 +43,7 @@
 
 // Next returns the time until the refused request should find room, given when
 // room comes for the first and the time between two that are served.
-func (p *Places) Next(now time.Time, first, interval time.Duration) time.Duration {
+func (p *Schedule) Next(now time.Time, first, interval time.Duration) time.Duration {
 	if free := now.Add(first); p.next.Before(free) {
 		p.next = free
 	}
--- a/internal/decide/lineage/failures.go
+++ b/internal/decide/lineage/failures.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// Explains reports whether the failure of a run that has just ended is that of a call. Each failed call explains one run: one that
+// CausedByCall reports whether the failure of a run that has just ended is that of a call. Each failed call explains one run: one that
 // is taken for a call of it, or else one that a run of its route makes, since some calls are taken for those of other runs.
-func (r *Runs) Explains(run *Run, now time.Time) bool {
+func (r *Runs) CausedByCall(run *Run, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.forget(now)
--- a/internal/decide/lineage/runs.go
+++ b/internal/decide/lineage/runs.go
@@ -17,8 +17,8 @@
 	Root string
 	// Priority is that of the caller's request.
 	Priority call.Priority
-	// Repeat tells that the run is a repeat, or was called by one.
-	Repeat bool
+	// Retry tells that the run is a repeat, or was called by one.
+	Retry bool
 
 	deadline time.Time
 	// calls are how many calls on each route were taken for the run's.
@@ -35,8 +35,8 @@
 	count int
 }
 
-// Report takes in how full the service was that one of the run's calls has met, and whether the call was refused there.
-func (r *Run) Report(service string, fullness float64, refused bool) {
+// Observe takes in how full the service was that one of the run's calls has met, and whether the call was refused there.
+func (r *Run) Observe(service string, fullness float64, refused bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refused = r.refused || refused
@@ -52,9 +52,9 @@
 	m.count++
 }
 
-// Met returns how full the fullest service was that the run's calls have met, and whether one of them was refused. Calls to
+// Saturation returns how full the fullest service was that the run's calls have met, and whether one of them was refused. Calls to
 // one service count by their mean: the fullest moment out of ten looks full on a service that has a third of its slots free.
-func (r *Run) Met() (fullness float64, refused bool) {
+func (r *Run) Saturation() (fullness float64, refused bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, m := range r.met {
--- a/internal/decide/mechanism/mechanism.go
+++ b/internal/decide/mechanism/mechanism.go
@@ -17,25 +17,25 @@
 const (
 	// Plan works out at the collector which part of each lane is begun; without it, fronts go by what their answers bring back.
 	Plan Mechanism = iota // plan
-	// PlannedRepeats makes the plan count the repeats that requests need where part of them come to nothing.
-	PlannedRepeats // plannedRepeats
-	// LentRepeats lets daemons repeat what others may and don't.
-	LentRepeats // lentRepeats
-	// OffersAgain offers requests again to instances that declined them.
-	OffersAgain // offersAgain
+	// PlannedRetries makes the plan count the repeats that requests need where part of them come to nothing.
+	PlannedRetries // plannedRepeats
+	// LentRetries lets daemons repeat what others may and don't.
+	LentRetries // lentRepeats
+	// RetryDeclined offers requests again to instances that declined them.
+	RetryDeclined // offersAgain
 	// CallFailures keeps requests from being repeated whose calls failed.
 	CallFailures // callFailures
-	// RankedCalls queues calls by the rank of the callers' requests; without it, all calls go first.
-	RankedCalls // rankedCalls
+	// RankedSubcalls queues calls by the rank of the callers' requests; without it, all calls go first.
+	RankedSubcalls // rankedCalls
 	// Zones keeps requests in their availability zone while their time allows it.
 	Zones // zones
-	// Faults sends less to instances that fail or turn away requests.
-	Faults // faults
-	// TimelyReturns tells refused callers to come back within their route's target.
-	TimelyReturns // timelyReturns
+	// FaultAvoidance sends less to instances that fail or turn away requests.
+	FaultAvoidance // faults
+	// TargetedRetryAfter tells refused callers to come back within their route's target.
+	TargetedRetryAfter // timelyReturns
 )
 
-const last = TimelyReturns
+const last = TargetedRetryAfter
 
 // Names returns the names of all mechanisms.
 func Names() []string {
--- a/internal/decide/mechanism/mechanism_string.go
+++ b/internal/decide/mechanism/mechanism_string.go
@@ -9,14 +9,14 @@
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
 	_ = x[Plan-0]
-	_ = x[PlannedRepeats-1]
-	_ = x[LentRepeats-2]
-	_ = x[OffersAgain-3]
+	_ = x[PlannedRetries-1]
+	_ = x[LentRetries-2]
+	_ = x[RetryDeclined-3]
 	_ = x[CallFailures-4]
-	_ = x[RankedCalls-5]
+	_ = x[RankedSubcalls-5]
 	_ = x[Zones-6]
-	_ = x[Faults-7]
-	_ = x[TimelyReturns-8]
+	_ = x[FaultAvoidance-7]
+	_ = x[TargetedRetryAfter-8]
 }
 
 const _Mechanism_name = "planplannedRepeatslentRepeatsoffersAgaincallFailuresrankedCallszonesfaultstimelyReturns"
--- a/internal/decide/mechanism/mechanism_test.go
+++ b/internal/decide/mechanism/mechanism_test.go
@@ -12,7 +12,7 @@
 		So(err, ShouldBeNil)
 		So(s, ShouldResemble, SetOf(Plan, Zones))
 		So(s.Has(Plan), ShouldBeTrue)
-		So(s.Has(Faults), ShouldBeFalse)
+		So(s.Has(FaultAvoidance), ShouldBeFalse)
 		So(s.String(), ShouldEqual, "plan,zones")
 	})
 	Convey("None is none", t, func() {
--- a/internal/decide/offers/course.go
+++ b/internal/decide/offers/course.go
@@ -13,12 +13,12 @@
 	mostSeen = 10
 )
 
-// Course is what has become of one request's offers.
+// Tracker is what has become of one request's offers.
 //
 // It is for services whose instances turn away part of what they get at random, below requests that call them several
 // times: where half is turned away, three tries end one lookup of eight calls in three, and eight tries nearly all.
 // An instance that has declined has run nothing and may be asked again, so the bound on instances is kept.
-type Course struct {
+type Tracker struct {
 	// attempts is the most instances that may see the request.
 	attempts int
 	tried    map[string]bool
@@ -31,32 +31,32 @@
 }
 
 // Option sets one property of a course.
-type Option func(*Course)
+type Option func(*Tracker)
 
 // Without switches mechanisms off.
 func Without(s mechanism.Set) Option {
-	return func(c *Course) { c.once = s.Has(mechanism.OffersAgain) }
+	return func(c *Tracker) { c.once = s.Has(mechanism.RetryDeclined) }
 }
 
 // New returns the course of a request that may be sent to so many instances.
-func New(attempts int, opts ...Option) *Course {
-	c := &Course{attempts: max(attempts, 1), tried: map[string]bool{}}
+func New(attempts int, opts ...Option) *Tracker {
+	c := &Tracker{attempts: max(attempts, 1), tried: map[string]bool{}}
 	for _, opt := range opts {
 		opt(c)
 	}
 	return c
 }
 
-// Seen reports whether an instance has seen the request, so that the next offer is a repeat.
-func (c *Course) Seen() bool { return c.seen > 0 }
+// Delivered reports whether an instance has seen the request, so that the next offer is a repeat.
+func (c *Tracker) Delivered() bool { return c.seen > 0 }
 
-// Open reports whether the request may be offered once more.
-func (c *Course) Open() bool {
+// CanRetry reports whether the request may be offered once more.
+func (c *Tracker) CanRetry() bool {
 	return c.unseen < mostUnseen && c.seen < mostSeen && (c.distinct < c.attempts || len(c.declined) > 0)
 }
 
-// From returns the instances that the next offer may go to, with those that are taken only where there are no others.
-func (c *Course) From(all []routing.Instance) (from []routing.Instance, behind map[string]bool) {
+// Candidates returns the instances that the next offer may go to, with those that are taken only where there are no others.
+func (c *Tracker) Candidates(all []routing.Instance) (from []routing.Instance, behind map[string]bool) {
 	if c.distinct >= c.attempts {
 		return c.again(all), nil
 	}
@@ -69,7 +69,7 @@
 }
 
 // again returns the instances that have declined.
-func (c *Course) again(all []routing.Instance) []routing.Instance {
+func (c *Tracker) again(all []routing.Instance) []routing.Instance {
 	from := make([]routing.Instance, 0, len(c.declined))
 	for i := range all {
 		if c.declined[all[i].ID] {
@@ -79,8 +79,8 @@
 	return from
 }
 
-// Done takes in how an offer to the instance ended, and whether the instance has seen the request.
-func (c *Course) Done(id string, e choice.Ending, seen bool) {
+// Record takes in how an offer to the instance ended, and whether the instance has seen the request.
+func (c *Tracker) Record(id string, e choice.Result, seen bool) {
 	first := !c.tried[id]
 	c.tried[id] = true
 	if !seen {
@@ -91,7 +91,7 @@
 	if first {
 		c.distinct++
 	}
-	if e == choice.TurnedAway && !c.once {
+	if e == choice.Declined && !c.once {
 		if c.declined == nil {
 			c.declined = map[string]bool{}
 		}
--- a/internal/decide/offers/course_test.go
+++ b/internal/decide/offers/course_test.go
@@ -24,38 +24,38 @@
 	// Guards against giving up a request that nobody has run, and against sending it to more instances than allowed.
 	Convey("A request is offered", t, func() {
 		c := New(2)
-		So(c.Seen(), ShouldBeFalse)
+		So(c.Delivered(), ShouldBeFalse)
 		Convey("to others first, and then again to those that have declined", func() {
-			c.Done("a", choice.TurnedAway, true)
-			So(c.Seen(), ShouldBeTrue)
-			So(ids(c.From(all)), ShouldResemble, []string{"b", "c"})
-			c.Done("b", choice.TurnedAway, true)
-			So(c.Open(), ShouldBeTrue)
-			So(ids(c.From(all)), ShouldResemble, []string{"a", "b"})
+			c.Record("a", choice.Declined, true)
+			So(c.Delivered(), ShouldBeTrue)
+			So(ids(c.Candidates(all)), ShouldResemble, []string{"b", "c"})
+			c.Record("b", choice.Declined, true)
+			So(c.CanRetry(), ShouldBeTrue)
+			So(ids(c.Candidates(all)), ShouldResemble, []string{"a", "b"})
 			for range mostSeen - 2 {
-				So(c.Open(), ShouldBeTrue)
-				c.Done("a", choice.TurnedAway, true)
+				So(c.CanRetry(), ShouldBeTrue)
+				c.Record("a", choice.Declined, true)
 			}
-			So(c.Open(), ShouldBeFalse)
+			So(c.CanRetry(), ShouldBeFalse)
 		})
 		Convey("not again to one that may have run it", func() {
-			c.Done("a", choice.TurnedAway, true)
-			c.Done("a", choice.Lost, true)
-			c.Done("b", choice.Failed, true)
-			So(c.Open(), ShouldBeFalse)
+			c.Record("a", choice.Declined, true)
+			c.Record("a", choice.Lost, true)
+			c.Record("b", choice.Failed, true)
+			So(c.CanRetry(), ShouldBeFalse)
 		})
 		Convey("again where there is no other instance", func() {
-			c.Done("a", choice.TurnedAway, true)
-			So(ids(c.From(all[:1])), ShouldResemble, []string{"a"})
+			c.Record("a", choice.Declined, true)
+			So(ids(c.Candidates(all[:1])), ShouldResemble, []string{"a"})
 		})
 		Convey("to no more hosts than that have no room", func() {
 			for n, i := range all {
-				So(c.Open(), ShouldBeTrue)
+				So(c.CanRetry(), ShouldBeTrue)
 				So(n, ShouldBeLessThan, mostUnseen)
-				c.Done(i.ID, choice.Refused, false)
+				c.Record(i.ID, choice.Refused, false)
 			}
-			So(c.Open(), ShouldBeFalse)
-			So(c.Seen(), ShouldBeFalse)
+			So(c.CanRetry(), ShouldBeFalse)
+			So(c.Delivered(), ShouldBeFalse)
 		})
 	})
 }
--- a/internal/decide/pressure/doors.go
+++ b/internal/decide/pressure/doors.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Doors refuses requests that would fail for overload deeper down, before anything is spent on them.
+// Throttles refuses requests that would fail for overload deeper down, before anything is spent on them.
 //
 // It is for a slow deep service below callers who retry hard. Each request
 // would run at every service above it and then be refused at the last, so that
@@ -14,7 +14,7 @@
 // it, refuse what could succeed. The answers of an organisation's own requests
 // are what counts, not what any host reports of itself: a signal that lies
 // can't close a door, and one organisation's refusals close no other's.
-type Doors struct {
+type Throttles struct {
 	mu    sync.Mutex
 	doors map[route]*throttle
 	rand  func() float64
@@ -26,17 +26,17 @@
 }
 
 // Option sets one property of doors.
-type Option func(*Doors)
+type Option func(*Throttles)
 
 // WithRand sets the source of chance, numbers from 0 to 1.
-func WithRand(f func() float64) Option { return func(d *Doors) { d.rand = f } }
+func WithRand(f func() float64) Option { return func(d *Throttles) { d.rand = f } }
 
 // most bounds the doors that are kept; each is made by a refusal and ends when its trouble is over.
 const most = 4096
 
 // New returns doors that are all open.
-func New(opts ...Option) *Doors {
-	d := &Doors{doors: map[route]*throttle{}, rand: rand.Float64}
+func New(opts ...Option) *Throttles {
+	d := &Throttles{doors: map[route]*throttle{}, rand: rand.Float64}
 	for _, opt := range opts {
 		opt(d)
 	}
@@ -44,7 +44,7 @@
 }
 
 // Admit reports whether the request may go on; if not, when its caller should come back.
-func (d *Doors) Admit(now time.Time, organisation, operation string) (time.Duration, bool) {
+func (d *Throttles) Admit(now time.Time, organisation, operation string) (time.Duration, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.doors) == 0 {
@@ -75,7 +75,7 @@
 
 // Report takes in how an admitted request ended: the pressure that came back
 // with its answer, 0 to 1, and when its caller was told to come back.
-func (d *Doors) Report(now time.Time, organisation, operation string, pressure float64, back time.Duration) {
+func (d *Throttles) Report(now time.Time, organisation, operation string, pressure float64, back time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r := route{organisation, operation}
@@ -97,7 +97,7 @@
 }
 
 // open makes the door of a first refusal.
-func (d *Doors) open(now time.Time, r route) *throttle {
+func (d *Throttles) open(now time.Time, r route) *throttle {
 	if len(d.doors) >= most {
 		d.sweep(now)
 	}
@@ -107,7 +107,7 @@
 }
 
 // sweep ends the doors that nobody has come to lately, or all if there is none such.
-func (d *Doors) sweep(now time.Time) {
+func (d *Throttles) sweep(now time.Time) {
 	for r, t := range d.doors {
 		t.decay(now)
 		if t.asked() < 1 {
@@ -120,7 +120,7 @@
 }
 
 // Len returns how many doors are not fully open.
-func (d *Doors) Len() int {
+func (d *Throttles) Len() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.doors)
--- a/internal/decide/pressure/doors_test.go
+++ b/internal/decide/pressure/doors_test.go
@@ -12,7 +12,7 @@
 
 // drive sends a request each millisecond through the doors to a service that is
 // reached and answers after 10 ms; it returns the shares that went on and that succeeded.
-func drive(d *Doors, from time.Time, length time.Duration, succeeds func() bool) (sent, done float64) {
+func drive(d *Throttles, from time.Time, length time.Duration, succeeds func() bool) (sent, done float64) {
 	type due struct {
 		at       time.Time
 		pressure float64
--- a/internal/decide/quota/fleet_test.go
+++ b/internal/decide/quota/fleet_test.go
@@ -76,7 +76,7 @@
 func (f *fleet) boot(d *daemon) {
 	d.Quota = New(WithRand(f.rng.Float64))
 	d.Configure(map[string]Rate{"o": f.rate})
-	d.Share(f.size)
+	d.SetDaemons(f.size)
 	d.dead, d.started, d.told = false, f.now, f.now
 	d.next = f.now.Add(time.Duration(f.rng.Float64() * float64(startSpread)))
 }
@@ -96,11 +96,11 @@
 	if d.dead || d.cut {
 		return
 	}
-	counts := d.Tell(f.now)
-	f.pool.Cover(f.alive(), len(f.daemons))
-	f.pool.Take(d.address, false, counts, f.now.Sub(d.started), f.now)
+	counts := d.Report(f.now)
+	f.pool.SetCoverage(f.alive(), len(f.daemons))
+	f.pool.Update(d.address, false, counts, f.now.Sub(d.started), f.now)
 	if f.pool.Settled(gap, f.now) {
-		d.Hear(f.pool.Words(counts, f.now), f.now)
+		d.Apply(f.pool.Allocations(counts, f.now), f.now)
 	}
 }
 
@@ -145,7 +145,7 @@
 	} else {
 		f.refused++
 	}
-	if v.Ahead && f.now.Sub(d.told) >= aheadGap {
+	if v.Surge && f.now.Sub(d.told) >= aheadGap {
 		f.beat(d)
 	}
 }
--- a/internal/decide/quota/pool.go
+++ b/internal/decide/quota/pool.go
@@ -91,19 +91,19 @@
 // Configure puts rates in force.
 func (p *Pool) Configure(rates map[string]Rate) { p.rates = rates }
 
-// Cover tells how many of all daemons have told this collector of themselves lately.
+// SetCoverage tells how many of all daemons have told this collector of themselves lately.
 //
 // While the fleet is cut in two, each side hears of its own demand only. Were each to take it for all, both together
 // would let in twice the rate; so a side spends the part of the rate that it has of the daemons.
-func (p *Pool) Cover(heard, all int) {
+func (p *Pool) SetCoverage(heard, all int) {
 	p.part = 1
 	if part := float64(heard) / float64(max(all, 1)); part < mostHear {
 		p.part = part
 	}
 }
 
-// Take counts what a daemon tells of itself, or a collector of its group; up is for how long it has been counting.
-func (p *Pool) Take(from netip.AddrPort, group bool, counts map[string]Count, up time.Duration, now time.Time) {
+// Update counts what a daemon tells of itself, or a collector of its group; up is for how long it has been counting.
+func (p *Pool) Update(from netip.AddrPort, group bool, counts map[string]Count, up time.Duration, now time.Time) {
 	if p.began.IsZero() {
 		p.began, p.young = now, true
 	}
@@ -127,11 +127,11 @@
 		switch {
 		case !known && !last.whole:
 			// It is named again since it has sent something after a pause: one request, as far as is known.
-			before = Count{Asked: c.Asked - 1, Admitted: max(c.Admitted-1, 0)}
-		case c.Asked < before.Asked:
+			before = Count{Requested: c.Requested - 1, Admitted: max(c.Admitted-1, 0)}
+		case c.Requested < before.Requested:
 			before = Count{}
 		}
-		p.count(name, group, Count{Asked: c.Asked - before.Asked, Admitted: c.Admitted - before.Admitted}, now)
+		p.count(name, group, Count{Requested: c.Requested - before.Requested, Admitted: c.Admitted - before.Admitted}, now)
 	}
 }
 
@@ -141,14 +141,14 @@
 		return
 	}
 	sum := p.group[name]
-	sum.Asked += more.Asked
+	sum.Requested += more.Requested
 	sum.Admitted += more.Admitted
 	sum.at = now
 	p.group[name] = sum
 }
 
-// Group returns the sums of the daemons' own counts, and for how long the pool has been counting.
-func (p *Pool) Group(now time.Time) (counts map[string]Count, up time.Duration) {
+// Totals returns the sums of the daemons' own counts, and for how long the pool has been counting.
+func (p *Pool) Totals(now time.Time) (counts map[string]Count, up time.Duration) {
 	counts = make(map[string]Count, len(p.group))
 	for name, c := range p.group {
 		if now.Sub(c.at) < countedFor {
@@ -167,9 +167,9 @@
 	return !p.began.IsZero() && now.Sub(p.began) >= gap
 }
 
-// Words returns the word on the organisations that are named, and on all that are over their rate.
-func (p *Pool) Words(named map[string]Count, now time.Time) map[string]Word {
-	words := make(map[string]Word, len(named))
+// Allocations returns the word on the organisations that are named, and on all that are over their rate.
+func (p *Pool) Allocations(named map[string]Count, now time.Time) map[string]Allocation {
+	words := make(map[string]Allocation, len(named))
 	for name := range named {
 		if p.rates[name].PerSecond > 0 {
 			words[name] = p.word(name, now)
@@ -180,16 +180,16 @@
 		if _, known := words[name]; known || b.demand <= p.room(name, b) {
 			continue
 		}
-		if w := p.word(name, now); w.Open < 1 {
+		if w := p.word(name, now); w.AdmitFraction < 1 {
 			words[name] = w
 		}
 	}
 	return words
 }
 
-func (p *Pool) word(name string, now time.Time) Word {
+func (p *Pool) word(name string, now time.Time) Allocation {
 	b := p.bucket(name, now)
-	return Word{Open: min(p.room(name, b)/max(b.demand, leastDemand), 1), Demand: b.demand}
+	return Allocation{AdmitFraction: min(p.room(name, b)/max(b.demand, leastDemand), 1), Demand: b.demand}
 }
 
 // room is what the organisation may be let in for now, in requests a second.
@@ -221,7 +221,7 @@
 }
 
 func (b *bucket) take(more Count) {
-	b.demand += float64(more.Asked) / demandTime.Seconds()
+	b.demand += float64(more.Requested) / demandTime.Seconds()
 	b.level -= float64(more.Admitted)
 }
 
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -19,7 +19,7 @@
 	rates   map[string]Rate
 	daemons int
 	meters  map[string]*meter
-	words   map[string]Word
+	words   map[string]Allocation
 	heard   time.Time
 }
 
@@ -89,15 +89,15 @@
 	}
 }
 
-// Share tells how many daemons there are.
-func (q *Quota) Share(daemons int) {
+// SetDaemons tells how many daemons there are.
+func (q *Quota) SetDaemons(daemons int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.daemons = max(daemons, 1)
 }
 
-// Hear takes in the collector's words.
-func (q *Quota) Hear(words map[string]Word, now time.Time) {
+// Apply takes in the collector's words.
+func (q *Quota) Apply(words map[string]Allocation, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.words, q.heard = words, now
@@ -110,8 +110,8 @@
 	}
 }
 
-// Tell returns the counts of the organisations that have sent something lately, for the collector.
-func (q *Quota) Tell(now time.Time) map[string]Count {
+// Report returns the counts of the organisations that have sent something lately, for the collector.
+func (q *Quota) Report(now time.Time) map[string]Count {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	all := make(map[string]Count, len(q.meters))
@@ -119,39 +119,39 @@
 		if now.Sub(m.at) < countedFor {
 			all[name] = m.count
 		}
-		m.usual += (float64(m.count.Asked-m.told) - m.usual) * usualWeight
-		m.told = m.count.Asked
+		m.usual += (float64(m.count.Requested-m.told) - m.usual) * usualWeight
+		m.told = m.count.Requested
 	}
 	return all
 }
 
-// Verdict is whether a request is within its organisation's rate, and the inputs that decided it.
-type Verdict struct {
+// Decision is whether a request is within its organisation's rate, and the inputs that decided it.
+type Decision struct {
 	Admitted bool
 	// Counted means that the request was counted as let in, so that GiveBack takes it back.
 	Counted bool
-	// Ahead means that far more has come since the last word than was usual: the others should hear of it now.
-	Ahead bool
+	// Surge means that far more has come since the last word than was usual: the others should hear of it now.
+	Surge bool
 	// RetryAfter is when the rate has room again.
 	RetryAfter time.Duration
-	// Open is the part that is let in, and Demand what the fleet was asked for, in requests a second.
-	Open   float64
-	Demand float64
-	Rate   float64
+	// AdmitFraction is the part that is let in, and Demand what the fleet was asked for, in requests a second.
+	AdmitFraction float64
+	Demand        float64
+	Rate          float64
 	// Age is how old the collector's word is; negative means that there is none.
 	Age time.Duration
 }
 
 // Admit counts a request of the organisation and decides on it.
-func (q *Quota) Admit(name string, now time.Time) Verdict {
+func (q *Quota) Admit(name string, now time.Time) Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r := q.rates[name]
 	if r.PerSecond <= 0 {
-		return Verdict{Admitted: true, Open: 1, Age: -1}
+		return Decision{Admitted: true, AdmitFraction: 1, Age: -1}
 	}
 	m := q.meter(name, now)
-	v := Verdict{Rate: r.PerSecond, Age: q.age(now), Ahead: m.ahead()}
+	v := Decision{Rate: r.PerSecond, Age: q.age(now), Surge: m.ahead()}
 	m.ask(now)
 	if v.Age < 0 {
 		q.alone(m, r, now, &v)
@@ -165,8 +165,8 @@
 	return v
 }
 
-// GiveBack takes back what a request was counted for that did not run after all.
-func (q *Quota) GiveBack(name string, v Verdict) {
+// Refund takes back what a request was counted for that did not run after all.
+func (q *Quota) Refund(name string, v Decision) {
 	if !v.Counted {
 		return
 	}
@@ -178,35 +178,35 @@
 }
 
 // told decides by the collector's word; an organisation that it doesn't name is within its rate.
-func (q *Quota) told(m *meter, name string, now time.Time, v *Verdict) {
+func (q *Quota) told(m *meter, name string, now time.Time, v *Decision) {
 	w, named := q.words[name]
 	if !named {
-		w.Open = 1
+		w.AdmitFraction = 1
 	}
-	v.Open, v.Demand = w.Open, w.Demand
-	if w.Open >= 1 {
+	v.AdmitFraction, v.Demand = w.AdmitFraction, w.Demand
+	if w.AdmitFraction >= 1 {
 		v.Admitted = true
 		return
 	}
-	m.credit += w.Open
+	m.credit += w.AdmitFraction
 	if m.credit >= 1 {
 		m.credit--
 		v.Admitted = true
 		return
 	}
-	v.RetryAfter = wait(1-m.credit, w.Open*m.own(now))
+	v.RetryAfter = wait(1-m.credit, w.AdmitFraction*m.own(now))
 }
 
 // alone decides where nothing is heard. Each daemon spends a token from another part of it on: most daemons of a large fleet never have a
 // whole one, and together they are to let in what the rate gives, neither none of it nor one request each.
-func (q *Quota) alone(m *meter, r Rate, now time.Time, v *Verdict) {
+func (q *Quota) alone(m *meter, r Rate, now time.Time, v *Decision) {
 	share := 1 / float64(q.daemons)
 	if !q.heard.IsZero() {
 		share = ownPart*m.share + (1-ownPart)*share
 	}
 	m.tokens = min(m.tokens+now.Sub(m.filled).Seconds()*r.PerSecond*share, max(r.Burst*share, m.tokens, 1))
 	m.filled = now
-	v.Open, v.Demand = share, m.own(now)
+	v.AdmitFraction, v.Demand = share, m.own(now)
 	if m.tokens >= m.spendAt {
 		m.tokens--
 		v.Admitted = true
@@ -252,12 +252,12 @@
 }
 
 func (m *meter) ask(now time.Time) {
-	m.count.Asked++
+	m.count.Requested++
 	m.demand = m.own(now) + 1/ownTime.Seconds()
 	m.at = now
 }
 
 // ahead reports whether one more request makes it far more than is usual between two words.
 func (m *meter) ahead() bool {
-	return float64(m.count.Asked-m.told) >= aheadRequests+aheadTimes*m.usual
+	return float64(m.count.Requested-m.told) >= aheadRequests+aheadTimes*m.usual
 }
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -200,16 +200,16 @@
 		d := f.daemons[0]
 		v := d.Admit("o", f.now)
 		So(v.Counted, ShouldBeTrue)
-		d.GiveBack("o", v)
-		d.GiveBack("o", Verdict{})
-		So(d.Tell(f.now), ShouldResemble, map[string]Count{"o": {Asked: 1}})
+		d.Refund("o", v)
+		d.Refund("o", Decision{})
+		So(d.Report(f.now), ShouldResemble, map[string]Count{"o": {Requested: 1}})
 	})
 }
 
 func TestCounts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := netip.MustParseAddrPort("10.0.0.1:1")
-	demand := func(p *Pool, at time.Time) float64 { return p.Words(map[string]Count{"o": {}}, at)["o"].Demand }
+	demand := func(p *Pool, at time.Time) float64 { return p.Allocations(map[string]Count{"o": {}}, at)["o"].Demand }
 	cases := []struct {
 		name   string
 		first  Count
@@ -227,9 +227,9 @@
 		Convey("Counts are read right: "+c.name, t, func() {
 			p := NewPool()
 			p.Configure(map[string]Rate{"o": {PerSecond: 1000, Burst: 10}})
-			p.Take(a, false, map[string]Count{"o": c.first}, c.up, now)
+			p.Update(a, false, map[string]Count{"o": c.first}, c.up, now)
 			So(demand(p, now)*demandTime.Seconds(), ShouldAlmostEqual, c.first0)
-			p.Take(a, false, map[string]Count{"o": c.second}, c.up, now)
+			p.Update(a, false, map[string]Count{"o": c.second}, c.up, now)
 			So(demand(p, now)*demandTime.Seconds(), ShouldAlmostEqual, c.first0+c.want)
 		})
 	}
@@ -243,10 +243,10 @@
 	play := func(up time.Duration) float64 {
 		p := NewPool()
 		p.Configure(map[string]Rate{"o": {PerSecond: 1000, Burst: 10}})
-		p.Take(a, false, nil, up, now)
-		p.Take(a, false, map[string]Count{"o": {500, 500}}, up, now)
-		p.Take(a, false, map[string]Count{"o": {503, 503}}, up, now)
-		return p.Words(map[string]Count{"o": {}}, now)["o"].Demand * demandTime.Seconds()
+		p.Update(a, false, nil, up, now)
+		p.Update(a, false, map[string]Count{"o": {500, 500}}, up, now)
+		p.Update(a, false, map[string]Count{"o": {503, 503}}, up, now)
+		return p.Allocations(map[string]Count{"o": {}}, now)["o"].Demand * demandTime.Seconds()
 	}
 	Convey("One request counts at the first word on it, and what comes after", t, func() {
 		So(play(time.Minute), ShouldAlmostEqual, 1+3)
--- a/internal/decide/quota/rate.go
+++ b/internal/decide/quota/rate.go
@@ -11,14 +11,14 @@
 //
 // Counts that only grow can be lost on the way or arrive twice without harm; the next one makes up for it.
 type Count struct {
-	Asked    int64 `msgpack:"asked"`
-	Admitted int64 `msgpack:"admitted"`
+	Requested int64 `msgpack:"asked"`
+	Admitted  int64 `msgpack:"admitted"`
 }
 
-// Word is the collector's word on one organisation.
-type Word struct {
-	// Open is the part of the organisation's requests that every daemon lets in, 1 for all.
-	Open float64 `msgpack:"open"`
+// Allocation is the collector's word on one organisation.
+type Allocation struct {
+	// AdmitFraction is the part of the organisation's requests that every daemon lets in, 1 for all.
+	AdmitFraction float64 `msgpack:"open"`
 	// Demand is what the fleet is asked for, in requests a second.
 	Demand float64 `msgpack:"demand"`
 }
--- a/internal/decide/repeats/repeats.go
+++ b/internal/decide/repeats/repeats.go
@@ -9,8 +9,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Bounds are what all daemons of a fleet together may repeat.
-type Bounds struct {
+// Limits are what all daemons of a fleet together may repeat.
+type Limits struct {
 	// Ratio is the repeats that a service may get for each request for it.
 	Ratio float64
 	// Slack is the repeats that a service may get besides within Window, over all daemons.
@@ -44,7 +44,7 @@
 // those that are need more repeats each.
 type Budget struct {
 	mu       sync.Mutex
-	bounds   Bounds
+	bounds   Limits
 	daemons  int
 	accounts map[string]*account
 	told     time.Time
@@ -67,19 +67,19 @@
 }
 
 // New returns a budget whose accounts begin with their part of the slack.
-func New(b Bounds) *Budget {
+func New(b Limits) *Budget {
 	return &Budget{bounds: b, daemons: 1, accounts: map[string]*account{}}
 }
 
-// Share tells how many daemons there are.
-func (b *Budget) Share(daemons int) {
+// SetDaemons tells how many daemons there are.
+func (b *Budget) SetDaemons(daemons int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.daemons = max(daemons, 1)
 }
 
-// Bound replaces the bounds.
-func (b *Budget) Bound(bounds Bounds) {
+// SetLimits replaces the bounds.
+func (b *Budget) SetLimits(bounds Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.bounds = bounds
@@ -139,24 +139,24 @@
 // mostDebt bounds how long a burst of repeats from above keeps this daemon from any of its own.
 const mostDebt = 50
 
-// Word is what one daemon, or all of them, may repeat and would like to repeat, a second.
-type Word struct {
+// Rates is what one daemon, or all of them, may repeat and would like to repeat, a second.
+type Rates struct {
 	Earned float64 `msgpack:"earned"`
 	Wanted float64 `msgpack:"wanted"`
 }
 
-// Tell returns the daemon's word on each service for the others; it is called at each word to them.
-func (b *Budget) Tell(now time.Time) map[string]Word {
+// Report returns the daemon's word on each service for the others; it is called at each word to them.
+func (b *Budget) Report(now time.Time) map[string]Rates {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	gap := max(now.Sub(b.told).Seconds(), leastGap)
 	b.told = now
-	all := make(map[string]Word, len(b.accounts))
+	all := make(map[string]Rates, len(b.accounts))
 	for service := range b.accounts {
 		a := b.of(service, now)
 		a.wantedRate += (a.wanted/gap - a.wantedRate) * wantedWeight
 		a.wanted = 0
-		w := Word{Earned: b.rate(a), Wanted: a.wantedRate}
+		w := Rates{Earned: b.rate(a), Wanted: a.wantedRate}
 		if w.Earned > negligible || w.Wanted > negligible {
 			all[service] = w
 		}
@@ -173,8 +173,8 @@
 	heardTime = 1500 * time.Millisecond
 )
 
-// Hear takes in what the daemon may repeat of all that the fleet may, a second; it told own.
-func (b *Budget) Hear(granted map[string]float64, own map[string]Word, now time.Time) {
+// Apply takes in what the daemon may repeat of all that the fleet may, a second; it told own.
+func (b *Budget) Apply(granted map[string]float64, own map[string]Rates, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for service, a := range b.accounts {
@@ -191,15 +191,15 @@
 
 // Grant returns the part of what the fleet may repeat that a daemon gets. Where that is less than all would like to, none gets more
 // than most, which Most returns: daemons that need few, for requests that need one each, are not cut for those that need many.
-func Grant(fleet, own Word, most float64) float64 {
+func Grant(fleet, own Rates, most float64) float64 {
 	if fleet.Wanted >= fleet.Earned {
 		return min(own.Wanted, most)
 	}
 	return own.Wanted + (fleet.Earned-fleet.Wanted)*own.Earned/max(fleet.Earned, negligible)
 }
 
-// Most returns the largest amount with which all that is wanted, each up to it, adds up to no more than there is.
-func Most(wanted []float64, earned float64) float64 {
+// FairCap returns the largest amount with which all that is wanted, each up to it, adds up to no more than there is.
+func FairCap(wanted []float64, earned float64) float64 {
 	slices.Sort(wanted)
 	for n, w := range wanted {
 		if each := earned / float64(len(wanted)-n); each <= w {
--- a/internal/decide/repeats/repeats_test.go
+++ b/internal/decide/repeats/repeats_test.go
@@ -15,13 +15,13 @@
 	// Every instance of a service turns everything away, and every daemon would like to repeat every request at
 	// once. The service would get twice its load at the moment at which it can bear least.
 	Convey("All daemons together repeat less than the bound in every window", t, func() {
-		bounds := Bounds{Ratio: 0.2, Slack: 48, Window: 10 * time.Second}
+		bounds := Limits{Ratio: 0.2, Slack: 48, Window: 10 * time.Second}
 		for _, daemons := range []int{1, 14, 72} {
 			rng := rand.New(rand.NewPCG(1, uint64(daemons)))
 			fleet := make([]*Budget, daemons)
 			for i := range fleet {
 				fleet[i] = New(bounds)
-				fleet[i].Share(daemons)
+				fleet[i].SetDaemons(daemons)
 			}
 			var requests, repeats []time.Duration
 			start := time.Unix(0, 0)
@@ -48,7 +48,7 @@
 	// Lookups are repeated to the bound, and each calls a second service once. That one fails too, and its calls would be
 	// repeated to the bound as well: twice the bound in all.
 	Convey("What repeated runs call counts against the repeats of the service that they call", t, func() {
-		bounds := Bounds{Ratio: 0.2, Slack: 48, Window: 10 * time.Second}
+		bounds := Limits{Ratio: 0.2, Slack: 48, Window: 10 * time.Second}
 		rng := rand.New(rand.NewPCG(1, 9))
 		above, below := New(bounds), New(bounds)
 		start := time.Unix(0, 0)
@@ -83,7 +83,7 @@
 func TestRepeatsWhenFewerAreBegun(t *testing.T) {
 	// Guards against having no repeats left just when a service begins to turn requests away and fronts begin less of them.
 	Convey("What was seen before counts, and the bound holds in every window", t, func() {
-		bounds := Bounds{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
+		bounds := Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
 		for _, c := range []struct {
 			daemons int
 			left    float64
@@ -94,7 +94,7 @@
 			fleet := make([]*Budget, c.daemons)
 			for i := range fleet {
 				fleet[i] = New(bounds)
-				fleet[i].Share(c.daemons)
+				fleet[i].SetDaemons(c.daemons)
 			}
 			var requests, repeats []time.Duration
 			start := time.Unix(0, 0)
@@ -126,38 +126,38 @@
 	Convey("What the fleet may repeat goes to those that would like to, the same to all that want more, and is no more in all", t, func() {
 		for _, c := range []struct {
 			name  string
-			words []Word
+			words []Rates
 			want  []float64
 		}{
-			{"nobody wants", []Word{{Earned: 30}, {Earned: 10}}, []float64{30, 10}},
-			{"one wants more than it earns", []Word{{Earned: 30}, {Earned: 10, Wanted: 20}}, []float64{15, 25}},
-			{"one wants too much", []Word{{Earned: 30, Wanted: 12}, {Earned: 10, Wanted: 68}}, []float64{12, 28}},
-			{"all want too much", []Word{{Earned: 30, Wanted: 30}, {Earned: 10, Wanted: 60}}, []float64{20, 20}},
+			{"nobody wants", []Rates{{Earned: 30}, {Earned: 10}}, []float64{30, 10}},
+			{"one wants more than it earns", []Rates{{Earned: 30}, {Earned: 10, Wanted: 20}}, []float64{15, 25}},
+			{"one wants too much", []Rates{{Earned: 30, Wanted: 12}, {Earned: 10, Wanted: 68}}, []float64{12, 28}},
+			{"all want too much", []Rates{{Earned: 30, Wanted: 30}, {Earned: 10, Wanted: 60}}, []float64{20, 20}},
 		} {
-			var fleet Word
+			var fleet Rates
 			var wanted []float64
 			for _, w := range c.words {
 				wanted = append(wanted, w.Wanted)
 				fleet.Earned += w.Earned
 				fleet.Wanted += w.Wanted
 			}
-			most := Most(wanted, fleet.Earned)
+			most := FairCap(wanted, fleet.Earned)
 			for n, w := range c.words {
 				So(c.name+": "+fmt.Sprint(Grant(fleet, w, most)), ShouldEqual, c.name+": "+fmt.Sprint(c.want[n]))
 			}
 		}
 	})
 	Convey("A daemon that earns few spends what others lend, until it hears no more", t, func() {
-		b := New(Bounds{Ratio: 0.2, Window: 10 * time.Second})
+		b := New(Limits{Ratio: 0.2, Window: 10 * time.Second})
 		now := time.Unix(1000, 0)
-		own := map[string]Word{"s": {}}
+		own := map[string]Rates{"s": {}}
 		spent := 0
 		play := func(length time.Duration, hears bool) int {
 			spent = 0
 			for at := time.Duration(0); at < length; at += 10 * time.Millisecond {
 				now = now.Add(10 * time.Millisecond)
 				if hears && at%(300*time.Millisecond) == 0 {
-					b.Hear(map[string]float64{"s": 20}, own, now)
+					b.Apply(map[string]float64{"s": 20}, own, now)
 				}
 				if b.Spend("s", call.Interactive, now) {
 					spent++
@@ -175,7 +175,7 @@
 func TestRepeatsAfterARestartOfAll(t *testing.T) {
 	// Guards against a fleet that forgets with a restart what it has repeated, and repeats as much again within the same window.
 	Convey("The bound holds in every window around the restart", t, func() {
-		bounds := Bounds{Ratio: 0.2, Slack: 49, Window: 10 * time.Second}
+		bounds := Limits{Ratio: 0.2, Slack: 49, Window: 10 * time.Second}
 		const daemons, restart, end = 16, 25 * time.Second, 50 * time.Second
 		rng := rand.New(rand.NewPCG(3, 3))
 		var fleet []*Budget
@@ -183,7 +183,7 @@
 			fleet = nil
 			for range daemons {
 				b := New(bounds)
-				b.Share(daemons)
+				b.SetDaemons(daemons)
 				fleet = append(fleet, b)
 			}
 		}
@@ -216,7 +216,7 @@
 // TestRepeatsByPriority guards against urgent requests that fail in the first second of a trouble, since all that was saved up went to the
 // many that go last.
 func TestRepeatsByPriority(t *testing.T) {
-	bounds := Bounds{Ratio: 0.2, Slack: 124, Window: 10 * time.Second}
+	bounds := Limits{Ratio: 0.2, Slack: 124, Window: 10 * time.Second}
 	play := func(p call.Priority, granted float64) int {
 		b := New(bounds)
 		now := time.Unix(1000, 0)
@@ -224,8 +224,8 @@
 			now = now.Add(10 * time.Millisecond)
 			b.Earn("s", now)
 		}
-		own := map[string]Word{"s": {Earned: b.rate(b.accounts["s"]), Wanted: 100}}
-		b.Hear(map[string]float64{"s": granted}, own, now)
+		own := map[string]Rates{"s": {Earned: b.rate(b.accounts["s"]), Wanted: 100}}
+		b.Apply(map[string]float64{"s": granted}, own, now)
 		sent := 0
 		for b.Spend("s", p, now) {
 			sent++
--- a/internal/decide/shed/lane.go
+++ b/internal/decide/shed/lane.go
@@ -13,8 +13,8 @@
 	return cmp.Or(cmp.Compare(r.Organisation, other.Organisation), cmp.Compare(r.Route, other.Route))
 }
 
-// Lane is the requests of a route to one of its services with one rank.
-type Lane struct {
+// Class is the requests of a route to one of its services with one rank.
+type Class struct {
 	Route   string `msgpack:"route"`
 	Service string `msgpack:"service"`
 	Rank    Rank   `msgpack:"rank"`
@@ -22,12 +22,12 @@
 
 // Rate is how many requests a second a daemon is asked for in a lane.
 type Rate struct {
-	Lane      Lane    `msgpack:"lane"`
+	Class     Class   `msgpack:"lane"`
 	PerSecond float64 `msgpack:"perSecond"`
 }
 
-// Part is the part of a lane's requests that is begun.
-type Part struct {
-	Lane Lane    `msgpack:"lane"`
-	Open float64 `msgpack:"open"`
+// Allocation is the part of a lane's requests that is begun.
+type Allocation struct {
+	Class         Class   `msgpack:"lane"`
+	AdmitFraction float64 `msgpack:"open"`
 }
--- a/internal/decide/shed/shed.go
+++ b/internal/decide/shed/shed.go
@@ -19,7 +19,7 @@
 type Shedder struct {
 	mu    sync.Mutex
 	rand  func() float64
-	lanes map[Lane]*valve
+	lanes map[Class]*valve
 	heard time.Time
 	asked time.Time
 	// untimely tells callers to come back without regard to their target.
@@ -95,32 +95,32 @@
 
 // Without switches mechanisms off.
 func Without(set mechanism.Set) Option {
-	return func(s *Shedder) { s.untimely = set.Has(mechanism.TimelyReturns) }
+	return func(s *Shedder) { s.untimely = set.Has(mechanism.TargetedRetryAfter) }
 }
 
 // New returns a shedder that lets everything in.
 func New(opts ...Option) *Shedder {
-	s := &Shedder{rand: rand.Float64, lanes: map[Lane]*valve{}}
+	s := &Shedder{rand: rand.Float64, lanes: map[Class]*valve{}}
 	for _, opt := range opts {
 		opt(s)
 	}
 	return s
 }
 
-// Verdict is whether a request is begun, with what decided it.
-type Verdict struct {
+// Decision is whether a request is begun, with what decided it.
+type Decision struct {
 	Admitted bool
 	// RetryAfter is when to come back.
 	RetryAfter time.Duration
-	// Share is the part that is turned away.
-	Share float64
+	// RejectFraction is the part that is turned away.
+	RejectFraction float64
 	// Age is how old the fleet's word is that decided it; what only answers tell has a longer one.
 	Age time.Duration
 }
 
 // Admit counts a request of the lane and decides on it; target is the time within which its answer is as good as it can be, 0 if
 // that is not known.
-func (s *Shedder) Admit(l Lane, target time.Duration, now time.Time) Verdict {
+func (s *Shedder) Admit(l Class, target time.Duration, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.of(l, now)
@@ -129,7 +129,7 @@
 		v.reopen(now)
 	}
 	share := 1 - v.open
-	out := Verdict{Admitted: s.rand() >= share, Share: share, Age: now.Sub(s.heard)}
+	out := Decision{Admitted: s.rand() >= share, RejectFraction: share, Age: now.Sub(s.heard)}
 	if !out.Admitted {
 		out.RetryAfter = s.back(target)
 	}
@@ -145,8 +145,8 @@
 	return min(max(time.Duration(float64(target)*part), leastBack), mostBack)
 }
 
-// Asked returns what the daemon is asked for in each lane, for the others; it is called at each word to them.
-func (s *Shedder) Asked(now time.Time) []Rate {
+// Demand returns what the daemon is asked for in each lane, for the others; it is called at each word to them.
+func (s *Shedder) Demand(now time.Time) []Rate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	gap := now.Sub(s.asked).Seconds()
@@ -157,14 +157,14 @@
 		v.rate += (fresh - v.rate) * rateWeight
 		v.asked = 0
 		if v.rate > negligible {
-			all = append(all, Rate{Lane: l, PerSecond: v.rate})
+			all = append(all, Rate{Class: l, PerSecond: v.rate})
 		}
 	}
 	return all
 }
 
-// Hear takes in the part of each lane that the fleet can do; lanes that aren't named are not cut.
-func (s *Shedder) Hear(parts []Part, now time.Time) {
+// Apply takes in the part of each lane that the fleet can do; lanes that aren't named are not cut.
+func (s *Shedder) Apply(parts []Allocation, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.heard = now
@@ -172,13 +172,13 @@
 		v.open, v.at = 1, now
 	}
 	for _, p := range parts {
-		s.of(p.Lane, now).set(p.Open)
+		s.of(p.Class, now).set(p.AdmitFraction)
 	}
 }
 
-// Report takes in what the answer to a request of the lane brought back: how full the fullest service on
+// Observe takes in what the answer to a request of the lane brought back: how full the fullest service on
 // its way was, and whether a call of the request was refused.
-func (s *Shedder) Report(l Lane, full float64, refused bool, now time.Time) {
+func (s *Shedder) Observe(l Class, full float64, refused bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if refused {
@@ -194,7 +194,7 @@
 // alone reports whether nothing current is heard of the fleet.
 func (s *Shedder) alone(now time.Time) bool { return now.Sub(s.heard) > heardTime }
 
-func (s *Shedder) of(l Lane, now time.Time) *valve {
+func (s *Shedder) of(l Class, now time.Time) *valve {
 	v := s.lanes[l]
 	if v == nil {
 		if len(s.lanes) > mostLanes {
--- a/internal/decide/shed/shed_test.go
+++ b/internal/decide/shed/shed_test.go
@@ -58,7 +58,7 @@
 					asked[n]++
 				}
 				d := fleet[rng.IntN(daemons)]
-				if !d.Admit(Lane{Route: r.name, Rank: r.rank}, 0, now).Admitted {
+				if !d.Admit(Class{Route: r.name, Rank: r.rank}, 0, now).Admitted {
 					continue
 				}
 				lost := r.cost > 0 && queue/slots > room
@@ -81,7 +81,7 @@
 			if roots[w.root].cost == 0 {
 				met = 0.1
 			}
-			w.d.Report(Lane{Route: roots[w.root].name, Rank: roots[w.root].rank}, met, w.lost, now)
+			w.d.Observe(Class{Route: roots[w.root].name, Rank: roots[w.root].rank}, met, w.lost, now)
 		}
 	}
 	shares := make([]float64, len(roots))
@@ -114,12 +114,12 @@
 }
 
 func TestPartsOfTheFleet(t *testing.T) {
-	lane, other := Lane{Route: "lookup"}, Lane{Route: "upload"}
+	lane, other := Class{Route: "lookup"}, Class{Route: "upload"}
 	now := time.Unix(1000, 0)
 	Convey("What the fleet can do holds until it is told anew, and lanes that aren't named are not cut", t, func() {
 		draw := 0.0
 		s := New(WithRand(func() float64 { return draw }))
-		s.Hear([]Part{{Lane: lane, Open: 0.25}}, now)
+		s.Apply([]Allocation{{Class: lane, AdmitFraction: 0.25}}, now)
 		for _, c := range []struct {
 			draw     float64
 			admitted bool
@@ -128,48 +128,48 @@
 			So(s.Admit(lane, 0, now).Admitted, ShouldEqual, c.admitted)
 			So(s.Admit(other, 0, now).Admitted, ShouldBeTrue)
 		}
-		s.Report(lane, 8, true, now.Add(time.Second))
-		So(s.Admit(lane, 0, now.Add(time.Second)).Share, ShouldEqual, 0.75)
-		s.Hear(nil, now.Add(time.Second))
-		So(s.Admit(lane, 0, now.Add(time.Second)).Share, ShouldEqual, 0)
+		s.Observe(lane, 8, true, now.Add(time.Second))
+		So(s.Admit(lane, 0, now.Add(time.Second)).RejectFraction, ShouldEqual, 0.75)
+		s.Apply(nil, now.Add(time.Second))
+		So(s.Admit(lane, 0, now.Add(time.Second)).RejectFraction, ShouldEqual, 0)
 	})
 	Convey("What was asked is told as a rate, which fades when nothing more is asked", t, func() {
 		s := New()
-		s.Asked(now)
+		s.Demand(now)
 		for range 30 {
 			s.Admit(lane, 0, now)
 		}
 		now := now.Add(300 * time.Millisecond)
-		So(s.Asked(now), ShouldResemble, []Rate{{Lane: lane, PerSecond: 60}})
+		So(s.Demand(now), ShouldResemble, []Rate{{Class: lane, PerSecond: 60}})
 		for range 10 {
 			now = now.Add(300 * time.Millisecond)
-			s.Asked(now)
+			s.Demand(now)
 		}
-		So(s.Asked(now.Add(300*time.Millisecond)), ShouldBeEmpty)
+		So(s.Demand(now.Add(300*time.Millisecond)), ShouldBeEmpty)
 	})
 }
 
 func TestRoomAgain(t *testing.T) {
 	// A burst is over, but the front goes on turning callers away: the share that it holds is from the burst.
-	lane := Lane{Route: "r", Rank: Rank{2, 2}}
+	lane := Class{Route: "r", Rank: Rank{2, 2}}
 	Convey("Answers that speak of room open the front within seconds, and silence does too", t, func() {
 		for _, answers := range []bool{true, false} {
 			s := New(WithRand(func() float64 { return 0 }))
 			now := time.Unix(1000, 0)
 			for range 300 {
 				now = now.Add(tick)
-				s.Report(lane, 3, true, now)
+				s.Observe(lane, 3, true, now)
 			}
 			So(s.Admit(lane, 0, now).Admitted, ShouldBeFalse)
 			for range 600 {
 				now = now.Add(tick)
 				if answers {
-					s.Report(lane, 0.5, false, now)
+					s.Observe(lane, 0.5, false, now)
 				} else {
 					s.Admit(lane, 0, now)
 				}
 			}
-			So(s.Admit(lane, 0, now).Share, ShouldEqual, 0)
+			So(s.Admit(lane, 0, now).RejectFraction, ShouldEqual, 0)
 		}
 	})
 }
--- a/internal/fleet/collect/collector.go
+++ b/internal/fleet/collect/collector.go
@@ -42,7 +42,7 @@
 	rates   *quota.Pool
 	graph   *graph.Graph
 	planner *allot.Planner
-	parts   []shed.Part
+	parts   []shed.Allocation
 	planned time.Time
 	noted   time.Time
 	// work is what the group's instances have done since its last beat.
@@ -94,7 +94,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.demand.Report(in.From, in.Group, in.Report, now)
-	c.rates.Take(in.From, in.Group, in.Counts, in.Up, now)
+	c.rates.Update(in.From, in.Group, in.Counts, in.Up, now)
 	c.graph.Merge(in.Calls)
 	for service, w := range in.Work {
 		c.worked(service, in, w, now)
@@ -135,9 +135,9 @@
 
 // worked takes in what instances have done.
 func (c *Collector) worked(service string, in Beat, w Work, now time.Time) {
-	c.planner.Hold(service, in.From.Addr(), w.Held, now)
-	if !c.without.Has(mechanism.PlannedRepeats) {
-		c.planner.Meet(service, w.Seen, w.Wasted, now)
+	c.planner.RecordHoldTimes(service, in.From.Addr(), w.Held, now)
+	if !c.without.Has(mechanism.PlannedRetries) {
+		c.planner.RecordDeliveries(service, w.Seen, w.Wasted, now)
 	}
 	if !in.Group {
 		sum := c.work[service]
@@ -155,7 +155,7 @@
 	}
 }
 
-func (w *Work) hold(more allot.Held) {
+func (w *Work) hold(more allot.HoldTime) {
 	for n := range w.Held {
 		if w.Held[n].Route == more.Route {
 			w.Held[n].Seconds += more.Seconds
@@ -173,13 +173,13 @@
 	}
 	c.planned = now
 	state := allot.State{
-		Demand: c.demand.Lanes(), Calls: c.graph.Edges(), Shares: f.Shares, Repeats: c.demand.Repeats(now), Instances: c.demand.Instances(),
+		Demand: c.demand.Lanes(), CallGraph: c.graph.Edges(), Shares: f.Shares, RetryRates: c.demand.Repeats(now), Instances: c.demand.Instances(),
 	}
-	state.Fullness, state.Slots = c.demand.Services()
+	state.Saturation, state.Slots = c.demand.Services()
 	plan := c.planner.Plan(state, now)
-	c.parts = make([]shed.Part, 0, len(plan))
+	c.parts = make([]shed.Allocation, 0, len(plan))
 	for l, open := range plan {
-		c.parts = append(c.parts, shed.Part{Lane: l, Open: open})
+		c.parts = append(c.parts, shed.Allocation{Class: l, AdmitFraction: open})
 	}
 	if len(plan) > 0 && now.Sub(c.noted) > noteEvery {
 		c.noted = now
@@ -197,12 +197,12 @@
 		return out
 	}
 	heard := c.demand.Daemons()
-	c.rates.Cover(heard, daemons)
+	c.rates.SetCoverage(heard, daemons)
 	gap := Every
 	if daemons > flatMost {
 		gap += GroupEvery
 	}
-	return Word{Daemons: heard, Rates: c.rates.Words(in.Counts, now), Settled: c.rates.Settled(gap, now), Parts: c.parts}
+	return Word{Daemons: heard, Rates: c.rates.Allocations(in.Counts, now), Settled: c.rates.Settled(gap, now), Parts: c.parts}
 }
 
 // passesOn reports whether another collector's word goes before what is known here.
@@ -262,7 +262,7 @@
 	b.Group = true
 	b.Silent = c.silence.among(members, now)
 	b.Report = c.demand.Group(now)
-	b.Counts, b.Up = c.rates.Group(now)
+	b.Counts, b.Up = c.rates.Totals(now)
 	b.Work, c.work = c.work, map[string]Work{}
 	b.Calls = c.graph.Edges().Clone()
 	for from, l := range c.leaving {
--- a/internal/fleet/collect/fleet_test.go
+++ b/internal/fleet/collect/fleet_test.go
@@ -222,7 +222,7 @@
 		beat := func(calls float64) Beat {
 			return Beat{
 				From: netip.MustParseAddrPort("10.0.0.1:1"), Report: demand.Report{Daemons: 1}, Calls: graph.Edges{"a": {"b": calls}},
-				Work: map[string]Work{"s": {Held: []allot.Held{{Route: "a", Seconds: 1, Count: 1}}}}, Counts: map[string]quota.Count{"o": {Asked: 1}},
+				Work: map[string]Work{"s": {Held: []allot.HoldTime{{Route: "a", Seconds: 1, Count: 1}}}}, Counts: map[string]quota.Count{"o": {Requested: 1}},
 			}
 		}
 		c.Take(beat(2), Fleet{Daemons: 300}, now)
--- a/internal/fleet/collect/goroutines_test.go
+++ b/internal/fleet/collect/goroutines_test.go
@@ -28,7 +28,7 @@
 			all.Go(func() {
 				for i := range beats {
 					b := Beat{
-						From: from, Report: demand.Report{Daemons: 1}, Calls: graph.Edges{"a": {"b": float64(i)}}, Counts: map[string]quota.Count{"o": {Asked: int64(i)}},
+						From: from, Report: demand.Report{Daemons: 1}, Calls: graph.Edges{"a": {"b": float64(i)}}, Counts: map[string]quota.Count{"o": {Requested: int64(i)}},
 					}
 					_ = fmt.Sprint(c.Take(b, Fleet{Daemons: 300}, start.Add(time.Duration(i)*time.Millisecond)))
 				}
--- a/internal/fleet/collect/message.go
+++ b/internal/fleet/collect/message.go
@@ -40,7 +40,7 @@
 // Work is what instances of a service have done over some time.
 type Work struct {
 	// Held is for how long requests have held slots.
-	Held []allot.Held `msgpack:"held"`
+	Held []allot.HoldTime `msgpack:"held"`
 	// Seen is how many requests have reached an instance, and Wasted how many of them have to be sent again.
 	Seen   int `msgpack:"seen"`
 	Wasted int `msgpack:"wasted"`
@@ -67,8 +67,8 @@
 	Age time.Duration `msgpack:"age"`
 	// Rates are the organisations that are over their rate, and those that were named; they count only where Settled tells
 	// that the collector has heard of all demand.
-	Rates   map[string]quota.Word `msgpack:"rates"`
-	Settled bool                  `msgpack:"settled"`
+	Rates   map[string]quota.Allocation `msgpack:"rates"`
+	Settled bool                        `msgpack:"settled"`
 	// Parts are the lanes of which not all can be done.
-	Parts []shed.Part `msgpack:"parts"`
+	Parts []shed.Allocation `msgpack:"parts"`
 }
--- a/internal/fleet/collect/model_test.go
+++ b/internal/fleet/collect/model_test.go
@@ -93,7 +93,7 @@
 	rates := map[string]quota.Rate{"o": f.rate}
 	d.Quota = quota.New(quota.WithRand(f.rng.Float64))
 	d.Quota.Configure(rates)
-	d.Share(f.size)
+	d.SetDaemons(f.size)
 	d.Collector = New(silent{}, mechanism.Set{})
 	d.Collector.Configure(rates)
 	d.began, d.avoided, d.dead, d.word, d.made = f.now, map[netip.Addr]time.Time{}, false, Word{}, time.Time{}
@@ -126,7 +126,7 @@
 		f.beatForGroup(d)
 	}
 	b := Beat{
-		From: d.address, Up: f.now.Sub(d.began), Counts: d.Tell(f.now),
+		From: d.address, Up: f.now.Sub(d.began), Counts: d.Report(f.now),
 		Report: demand.Report{Daemons: 1, Services: map[string]demand.Service{"s": {Instances: 1, Fullness: 1, Slots: 10}}},
 	}
 	if first[0] != own {
@@ -143,7 +143,7 @@
 		}
 		d.word, d.made = back.Word, f.now.Add(-back.Word.Age)
 		if back.Word.Settled {
-			d.Quota.Hear(back.Word.Rates, d.made)
+			d.Quota.Apply(back.Word.Rates, d.made)
 		}
 		return
 	}
--- a/internal/fleet/demand/collector.go
+++ b/internal/fleet/demand/collector.go
@@ -19,8 +19,8 @@
 type Collector struct {
 	reports  map[netip.AddrPort]stored
 	daemons  int
-	lanes    map[shed.Lane]float64
-	repeats  map[string]repeats.Word
+	lanes    map[shed.Class]float64
+	repeats  map[string]repeats.Rates
 	services map[string]Service
 	swept    time.Time
 	// most is the most that one daemon gets of a service's repeats, as of leveled.
@@ -40,7 +40,7 @@
 	// Lanes is what callers ask for there.
 	Lanes []shed.Rate `msgpack:"lanes"`
 	// Repeats are what the daemons may and would like to send once more to each service.
-	Repeats map[string]repeats.Word `msgpack:"repeats"`
+	Repeats map[string]repeats.Rates `msgpack:"repeats"`
 }
 
 // Service is what is seen of instances of one service.
@@ -82,7 +82,7 @@
 // New returns a collector without reports.
 func New() *Collector {
 	return &Collector{
-		reports: map[netip.AddrPort]stored{}, lanes: map[shed.Lane]float64{}, repeats: map[string]repeats.Word{},
+		reports: map[netip.AddrPort]stored{}, lanes: map[shed.Class]float64{}, repeats: map[string]repeats.Rates{},
 		services: map[string]Service{}, most: map[string]float64{},
 	}
 }
@@ -102,11 +102,11 @@
 func (c *Collector) add(r Report, sign int) {
 	c.daemons += sign * r.Daemons
 	for _, l := range r.Lanes {
-		c.lanes[l.Lane] += float64(sign) * l.PerSecond
+		c.lanes[l.Class] += float64(sign) * l.PerSecond
 	}
 	for name, own := range r.Repeats {
 		sum := c.repeats[name]
-		c.repeats[name] = repeats.Word{Earned: sum.Earned + float64(sign)*own.Earned, Wanted: sum.Wanted + float64(sign)*own.Wanted}
+		c.repeats[name] = repeats.Rates{Earned: sum.Earned + float64(sign)*own.Earned, Wanted: sum.Wanted + float64(sign)*own.Wanted}
 	}
 	for name, s := range r.Services {
 		c.services[name] = c.services[name].plus(sign, s)
@@ -124,8 +124,8 @@
 			delete(c.reports, from)
 		}
 	}
-	maps.DeleteFunc(c.repeats, func(_ string, w repeats.Word) bool { return w.Earned < rounding && w.Wanted < rounding })
-	maps.DeleteFunc(c.lanes, func(_ shed.Lane, d float64) bool { return d < rounding })
+	maps.DeleteFunc(c.repeats, func(_ string, w repeats.Rates) bool { return w.Earned < rounding && w.Wanted < rounding })
+	maps.DeleteFunc(c.lanes, func(_ shed.Class, d float64) bool { return d < rounding })
 }
 
 // rounding is what sums and differences of reports may leave over.
@@ -142,7 +142,7 @@
 	}
 	out := Report{Daemons: sum.daemons, Services: sum.services, Repeats: sum.repeats}
 	for l, perSecond := range sum.lanes {
-		out.Lanes = append(out.Lanes, shed.Rate{Lane: l, PerSecond: perSecond})
+		out.Lanes = append(out.Lanes, shed.Rate{Class: l, PerSecond: perSecond})
 	}
 	return out
 }
@@ -151,11 +151,11 @@
 func (c *Collector) Speaks(from netip.AddrPort) bool { return c.reports[from].group }
 
 // Lanes returns what callers ask for over all daemons, in requests a second; it must not be changed, and holds until the next report.
-func (c *Collector) Lanes() map[shed.Lane]float64 { return c.lanes }
+func (c *Collector) Lanes() map[shed.Class]float64 { return c.lanes }
 
 // Repeats returns what the fleet may and would like to send once more to each service.
-func (c *Collector) Repeats(now time.Time) map[string]repeats.Word {
-	all := make(map[string]repeats.Word, len(c.repeats))
+func (c *Collector) Repeats(now time.Time) map[string]repeats.Rates {
+	all := make(map[string]repeats.Rates, len(c.repeats))
 	for name := range c.repeats {
 		all[name] = c.together(name, now)
 	}
@@ -166,7 +166,7 @@
 func (c *Collector) Lend(all map[string]float64, now time.Time) { c.lent, c.lentAt = all, now }
 
 // together is what all daemons here may and would like to send once more to a service.
-func (c *Collector) together(service string, now time.Time) repeats.Word {
+func (c *Collector) together(service string, now time.Time) repeats.Rates {
 	sum := c.repeats[service]
 	if lent, known := c.lent[service]; known && now.Sub(c.lentAt) <= lentTime {
 		sum.Earned = lent
@@ -175,7 +175,7 @@
 }
 
 // Grants returns what so many daemons may send once more to each service that they name, in repeats a second.
-func (c *Collector) Grants(own map[string]repeats.Word, daemons int, now time.Time) map[string]float64 {
+func (c *Collector) Grants(own map[string]repeats.Rates, daemons int, now time.Time) map[string]float64 {
 	if now.Sub(c.leveled) > levelEvery {
 		c.leveled = now
 		c.level(now)
@@ -204,7 +204,7 @@
 		}
 	}
 	for name, all := range wanted {
-		c.most[name] = repeats.Most(all, c.together(name, now).Earned)
+		c.most[name] = repeats.FairCap(all, c.together(name, now).Earned)
 	}
 }
 
--- a/internal/fleet/demand/collector_bench_test.go
+++ b/internal/fleet/demand/collector_bench_test.go
@@ -17,12 +17,12 @@
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
 			c := New()
 			r := one("s0", 1.1, 40, 0)
-			r.Repeats, r.Lanes = map[string]repeats.Word{}, nil
+			r.Repeats, r.Lanes = map[string]repeats.Rates{}, nil
 			for n := range services {
-				r.Repeats[fmt.Sprint("s", n)] = repeats.Word{Earned: 5, Wanted: 20}
+				r.Repeats[fmt.Sprint("s", n)] = repeats.Rates{Earned: 5, Wanted: 20}
 			}
 			for n := range lanes {
-				r.Lanes = append(r.Lanes, shed.Rate{Lane: shed.Lane{Route: fmt.Sprint("r", n)}, PerSecond: 10})
+				r.Lanes = append(r.Lanes, shed.Rate{Class: shed.Class{Route: fmt.Sprint("r", n)}, PerSecond: 10})
 			}
 			each := gap / time.Duration(daemons)
 			now := time.Unix(1000, 0)
--- a/internal/fleet/demand/collector_test.go
+++ b/internal/fleet/demand/collector_test.go
@@ -12,7 +12,7 @@
 )
 
 func lookups(perSecond float64) []shed.Rate {
-	return []shed.Rate{{Lane: shed.Lane{Route: "lookup", Service: "s"}, PerSecond: perSecond}}
+	return []shed.Rate{{Class: shed.Class{Route: "lookup", Service: "s"}, PerSecond: perSecond}}
 }
 
 // one is the report of a daemon beside an instance.
@@ -33,7 +33,7 @@
 		fullness, slots := c.Services()
 		So(fullness["s"], ShouldAlmostEqual, 0.9)
 		So(slots["s"], ShouldEqual, 7)
-		So(c.Lanes(), ShouldResemble, map[shed.Lane]float64{lookups(0)[0].Lane: 3})
+		So(c.Lanes(), ShouldResemble, map[shed.Class]float64{lookups(0)[0].Class: 3})
 		So(c.Daemons(), ShouldEqual, 2)
 	})
 	// A host is lost. Its demand would be taken for that of others for as long as the collector lives, and they would be refused.
@@ -58,7 +58,7 @@
 		f.Report(a, true, g.Group(start), start)
 		f.Report(c, false, one("s", 1, 5, 1), start)
 		So(f.Daemons(), ShouldEqual, 3)
-		So(f.Lanes(), ShouldResemble, map[shed.Lane]float64{lookups(0)[0].Lane: 7})
+		So(f.Lanes(), ShouldResemble, map[shed.Class]float64{lookups(0)[0].Class: 7})
 		fullness, slots := f.Services()
 		So(fullness["s"], ShouldAlmostEqual, 1)
 		So(slots["s"], ShouldEqual, 21)
@@ -68,8 +68,8 @@
 	// Guards against a group of fifty daemons that is cut to what one of them may repeat.
 	Convey("What is short of repeats is shared by daemons, not by who tells of them", t, func() {
 		f := New()
-		word := func(wanted float64) map[string]repeats.Word {
-			return map[string]repeats.Word{"s": {Earned: 1, Wanted: wanted}}
+		word := func(wanted float64) map[string]repeats.Rates {
+			return map[string]repeats.Rates{"s": {Earned: 1, Wanted: wanted}}
 		}
 		f.Report(a, true, Report{Daemons: 4, Repeats: word(40)}, start)
 		f.Report(b, false, Report{Daemons: 1, Repeats: word(10)}, start)
@@ -79,8 +79,8 @@
 	})
 	Convey("What the fleet's collector lends is dealt out in the group", t, func() {
 		g := New()
-		g.Report(a, false, Report{Daemons: 1, Repeats: map[string]repeats.Word{"s": {Earned: 1, Wanted: 5}}}, start)
+		g.Report(a, false, Report{Daemons: 1, Repeats: map[string]repeats.Rates{"s": {Earned: 1, Wanted: 5}}}, start)
 		g.Lend(map[string]float64{"s": 4}, start)
-		So(g.Grants(map[string]repeats.Word{"s": {Earned: 1, Wanted: 5}}, 1, start)["s"], ShouldAlmostEqual, 4)
+		So(g.Grants(map[string]repeats.Rates{"s": {Earned: 1, Wanted: 5}}, 1, start)["s"], ShouldAlmostEqual, 4)
 	})
 }
--- a/internal/fleet/rate/purse.go
+++ b/internal/fleet/rate/purse.go
@@ -21,7 +21,7 @@
 	// spends are those since the last tick, pace is their smoothed rate in calls/s.
 	spends   int
 	pace     float64
-	back     *comeback.Places
+	back     *comeback.Schedule
 	used     time.Time
 	dryUntil time.Time
 	// gathered is when fractions were last asked for.
--- a/internal/load/chain/host.go
+++ b/internal/load/chain/host.go
@@ -22,7 +22,7 @@
 	needs    *budget.Needs
 	// below is what the upstream's own calls need for each operation.
 	below *budget.Needs
-	doors *pressure.Doors
+	doors *pressure.Throttles
 }
 
 // request is one call at one hop of its path.
--- a/internal/load/mesh/fleet.go
+++ b/internal/load/mesh/fleet.go
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, h := range f.hosts {
-		h.repeats.Share(len(f.hosts))
+		h.repeats.SetDaemons(len(f.hosts))
 	}
 	return f
 }
@@ -96,7 +96,7 @@
 	h := &host{
 		fleet: f, instance: instance, speed: speed, ordinal: n, of: len(s.Speeds),
 		shedder: shed.New(shed.WithRand(f.random.Float64), shed.Without(f.scene.Without)), chooser: choice.New(zone, choice.WithRand(f.random.Float64), choice.Without(f.scene.Without)),
-		repeats: repeats.New(f.scene.Repeats), gate: newGate(s.Slots), runs: lineage.New(lineage.WithRand(f.random.Float64)), held: map[string]allot.Held{},
+		repeats: repeats.New(f.scene.Repeats), gate: newGate(s.Slots), runs: lineage.New(lineage.WithRand(f.random.Float64)), held: map[string]allot.HoldTime{},
 	}
 	f.hosts = append(f.hosts, h)
 	f.byID[instance.ID] = h
--- a/internal/load/mesh/host.go
+++ b/internal/load/mesh/host.go
@@ -27,13 +27,13 @@
 	ordinal, of int
 
 	shedder *shed.Shedder
-	chooser *choice.Chooser
+	chooser *choice.Balancer
 	repeats *repeats.Budget
 	gate    *admission.Gate
 	runs    *lineage.Runs
 
 	fullSum, fullCount float64
-	held               map[string]allot.Held
+	held               map[string]allot.HoldTime
 	// seen and wasted count what reached the instance and what has to be sent again, since the last beat.
 	seen, wasted int
 }
@@ -68,7 +68,7 @@
 
 func (h *host) hold(route string, took time.Duration) {
 	held := h.held[route]
-	h.held[route] = allot.Held{Route: route, Seconds: held.Seconds + took.Seconds(), Count: held.Count + 1}
+	h.held[route] = allot.HoldTime{Route: route, Seconds: held.Seconds + took.Seconds(), Count: held.Count + 1}
 }
 
 // beat tells the collector what the host sees, and takes in its plan.
@@ -84,7 +84,7 @@
 		From: netip.AddrPortFrom(h.instance.Address.Addr(), 1),
 		Report: demand.Report{
 			Daemons: 1, Services: map[string]demand.Service{h.instance.Service: {Instances: 1, Fullness: full, Slots: h.slots()}},
-			Lanes: h.shedder.Asked(f.now()), Repeats: h.repeats.Tell(f.now()),
+			Lanes: h.shedder.Demand(f.now()), Repeats: h.repeats.Report(f.now()),
 		},
 		Work:  map[string]collect.Work{h.instance.Service: {Held: slices.Collect(maps.Values(h.held)), Seen: h.seen, Wasted: h.wasted}},
 		Calls: h.runs.Calls(),
@@ -95,10 +95,10 @@
 		back := f.collector.Take(told, collect.Fleet{Daemons: len(f.hosts), Shares: f.shares}, f.now())
 		f.clock.After(oneWay, func() {
 			if !f.without(mechanism.Plan) {
-				h.shedder.Hear(back.Word.Parts, f.now())
+				h.shedder.Apply(back.Word.Parts, f.now())
 			}
-			if !f.without(mechanism.LentRepeats) {
-				h.repeats.Hear(back.Grants, told.Report.Repeats, f.now())
+			if !f.without(mechanism.LentRetries) {
+				h.repeats.Apply(back.Grants, told.Report.Repeats, f.now())
 			}
 		})
 	})
--- a/internal/load/mesh/request.go
+++ b/internal/load/mesh/request.go
@@ -23,7 +23,7 @@
 // answer is what a request brought back.
 type answer struct {
 	kind       kind
-	ending     choice.Ending
+	ending     choice.Result
 	retryAfter time.Duration
 	load       call.Load
 	// arrived means that an instance has seen the request, and callFailed that a call of its run failed.
@@ -47,7 +47,7 @@
 	// running ends the work that is going on for the request.
 	running func()
 
-	course *offers.Course
+	course *offers.Tracker
 	last   answer
 }
 
@@ -70,8 +70,8 @@
 	q.done(a)
 }
 
-func (q *request) lane() shed.Lane {
-	return shed.Lane{Route: q.root.Name, Service: q.root.Service, Rank: q.root.Rank}
+func (q *request) lane() shed.Class {
+	return shed.Class{Route: q.root.Name, Service: q.root.Service, Rank: q.root.Rank}
 }
 
 // serve lets the request in and places it.
@@ -103,11 +103,11 @@
 	if q.ended {
 		return
 	}
-	if !q.course.Open() || !now.Before(q.deadline) || q.course.Seen() && !h.repeats.Spend(q.route.Service, priority(q.root), now) {
+	if !q.course.CanRetry() || !now.Before(q.deadline) || q.course.Delivered() && !h.repeats.Spend(q.route.Service, priority(q.root), now) {
 		q.finish(q.last)
 		return
 	}
-	from, behind := q.course.From(h.fleet.instances[q.route.Service])
+	from, behind := q.course.Candidates(h.fleet.instances[q.route.Service])
 	i, ok := h.chooser.Pick(from, behind, q.deadline.Sub(now), now)
 	if !ok {
 		q.finish(q.last)
@@ -119,7 +119,7 @@
 // offer hands the request to the host of the instance.
 func (h *host) offer(q *request, i routing.Instance) {
 	sent := h.fleet.now()
-	repeat := q.repeat || q.course.Seen()
+	repeat := q.repeat || q.course.Delivered()
 	to := h.fleet.byID[i.ID]
 	v := &visit{host: to, request: q, repeat: repeat}
 	over := false
@@ -131,7 +131,7 @@
 		if a.callFailed {
 			a.ending = choice.Withdrawn
 		}
-		h.chooser.Done(i, a.ending, h.fleet.now().Sub(sent), a.load, h.fleet.now())
+		h.chooser.Record(i, a.ending, h.fleet.now().Sub(sent), a.load, h.fleet.now())
 	}
 	q.running = func() {
 		settle(answer{ending: choice.Withdrawn})
@@ -156,7 +156,7 @@
 	if q.ended {
 		return
 	}
-	q.course.Done(id, a.ending, a.arrived)
+	q.course.Record(id, a.ending, a.arrived)
 	if q.last.kind == notRun || a.kind != notRun {
 		q.last = a
 	}
--- a/internal/load/mesh/scene.go
+++ b/internal/load/mesh/scene.go
@@ -15,7 +15,7 @@
 	// Zones is the number of availability zones, over which instances are dealt in turn.
 	Zones int
 	// Repeats bound what the fleet sends once more.
-	Repeats  repeats.Bounds
+	Repeats  repeats.Limits
 	Troubles []Trouble
 	Seed     uint64
 	// Without are the mechanisms that are switched off.
--- a/internal/load/mesh/scenes.go
+++ b/internal/load/mesh/scenes.go
@@ -10,7 +10,7 @@
 // Fan is a fleet in which most requests lead to eight calls of one small service at the end of the chain: a lookup checks two
 // sessions, an unlock reads two indexes, and each index reads four entries of the directory, which maps are read from too.
 func Fan(seed uint64) Scene {
-	bounds := repeats.Bounds{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
+	bounds := repeats.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
 	return Scene{
 		Zones: 3, Repeats: bounds, Seed: seed,
 		Services: []Service{
@@ -48,7 +48,7 @@
 func Chain(seed uint64) Scene {
 	const ms = time.Millisecond
 	return Scene{
-		Zones: 5, Repeats: repeats.Bounds{Ratio: 0.2, Slack: 124, Window: 10 * time.Second}, Seed: seed,
+		Zones: 5, Repeats: repeats.Limits{Ratio: 0.2, Slack: 124, Window: 10 * time.Second}, Seed: seed,
 		Services: []Service{
 			{Name: "lookups", Speeds: mixed(48), Slots: 22},
 			{Name: "dispatch", Speeds: mixed(33), Slots: 22},
--- a/internal/load/mesh/tally.go
+++ b/internal/load/mesh/tally.go
@@ -41,7 +41,7 @@
 
 // OverBound returns how many repeats the service got beyond the bound in its worst window, below 0 where it was kept in all of them. The
 // requests count that were sent in the window, in the one before it, or in the one half a window before, whichever has most.
-func (r *Result) OverBound(service string, b repeats.Bounds) float64 {
+func (r *Result) OverBound(service string, b repeats.Limits) float64 {
 	sent := r.Services[service]
 	window := int(b.Window.Seconds() * perSecond)
 	sum := func(from int) (sum Sent) {
--- a/internal/load/mesh/visit.go
+++ b/internal/load/mesh/visit.go
@@ -61,7 +61,7 @@
 	}
 	if q.nested {
 		v.ticket.Priority++
-		if f.without(mechanism.RankedCalls) {
+		if f.without(mechanism.RankedSubcalls) {
 			v.ticket.Priority = call.Nested
 		}
 		v.ticket.Organisation, v.ticket.Weight = "", nestedWeight
@@ -110,12 +110,12 @@
 			t.Repeats++
 		}
 	}
-	v.lineage = &lineage.Run{Route: v.request.route.Name, Root: v.request.root.Name, Priority: v.ticket.Priority, Repeat: v.repeat}
+	v.lineage = &lineage.Run{Route: v.request.route.Name, Root: v.request.root.Name, Priority: v.ticket.Priority, Retry: v.repeat}
 	v.host.runs.Begin(v.lineage, v.deadline)
 	v.host.seen++
 	if f.random.Float64() < f.trouble(v.host.instance.Service, func(t *Trouble) float64 { return t.Sheds }) {
 		f.clock.After(turnAwayTime, func() {
-			v.end(answer{kind: notRun, ending: choice.TurnedAway, retryAfter: shedWait, arrived: true})
+			v.end(answer{kind: notRun, ending: choice.Declined, retryAfter: shedWait, arrived: true})
 		})
 		return
 	}
@@ -170,7 +170,7 @@
 	r := f.routes[route]
 	q := &request{route: r, nested: true, counts: v.request.counts, deadline: earlier(v.deadline, f.now().Add(r.Timeout))}
 	parent := v.host.runs.Parent(route, q.deadline)
-	q.root, q.repeat = f.routes[parent.Root], parent.Repeat
+	q.root, q.repeat = f.routes[parent.Root], parent.Retry
 	q.done = func(a answer) {
 		if a.kind == whole {
 			then()
@@ -198,9 +198,9 @@
 
 // judge finds out whether a call explains the failure, and counts what has to be sent again.
 func (v *visit) judge(a *answer) {
-	a.callFailed = a.ending == choice.Failed && v.host.runs.Explains(v.lineage, v.host.fleet.now())
+	a.callFailed = a.ending == choice.Failed && v.host.runs.CausedByCall(v.lineage, v.host.fleet.now())
 	inVain := a.lost || a.ending == choice.Failed && !a.callFailed
-	if a.ending == choice.TurnedAway || inVain && !v.request.route.Once {
+	if a.ending == choice.Declined || inVain && !v.request.route.Once {
 		v.host.wasted++
 	}
 }
@@ -215,7 +215,7 @@
 }
 
 // leave gives the slot back and ends the calls that are going on.
-func (v *visit) leave(e choice.Ending) {
+func (v *visit) leave(e choice.Result) {
 	now := v.host.fleet.now()
 	for _, q := range v.calls {
 		q.cancel()
@@ -226,8 +226,8 @@
 	}
 	v.host.runs.End(v.lineage, e == choice.Served)
 	took := now.Sub(v.started)
-	v.host.gate.Settle(now, &v.ticket, admission.Result{Own: took, Shed: e == choice.TurnedAway, Withdrawn: e == choice.Withdrawn})
-	if e != choice.TurnedAway {
+	v.host.gate.Settle(now, &v.ticket, admission.Result{Own: took, Shed: e == choice.Declined, Withdrawn: e == choice.Withdrawn})
+	if e != choice.Declined {
 		v.host.hold(v.request.route.Name, took)
 	}
 }
