--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -186,7 +186,7 @@
 			return ticket.Answer
 		case ledger.Mismatched:
 			return call.Refuse(call.Repeated, 0)
-		case ledger.Crowded:
+		case ledger.Full:
 			return call.Refuse(call.Overloaded, ticket.Wait)
 		default:
 			return call.Lose(call.Repeated)
@@ -216,7 +216,7 @@
 // ask returns what the other daemons say of a key, or false if no request with it can have run.
 func (r *repeats) ask(ctx context.Context, key ledger.Key, t ledger.Ticket) (call.Answer, bool) {
 	now := time.Now()
-	q := ledger.Question{
+	q := ledger.Evidence{
 		Self: r.daemon.settings.Host, Own: r.ledger.Own(now), Moves: t.Moves, Window: r.window,
 		Need: key.Age(now, r.window), Required: r.history.Required(key, now),
 	}
@@ -260,7 +260,7 @@
 
 // recallAll asks every daemon that may hold the key, and learns from the same answers whether the host list is theirs too.
 // A suspect counts as silent without being asked: for as long as regions are apart, each key in doubt would wait recallTime for it.
-func (r *repeats) recallAll(ctx context.Context, question recall, now time.Time) map[string]ledger.Memory {
+func (r *repeats) recallAll(ctx context.Context, question recall, now time.Time) map[string]ledger.RecallReply {
 	ctx, cancel := context.WithTimeout(ctx, recallTime)
 	defer cancel()
 	var addresses map[string]netip.AddrPort
@@ -268,7 +268,7 @@
 		addresses = *known
 	}
 	members := r.daemon.members.Load()
-	replies := map[string]ledger.Memory{}
+	replies := map[string]ledger.RecallReply{}
 	var mu sync.Mutex
 	var asking sync.WaitGroup
 	for _, name := range r.history.Everyone(now) {
@@ -277,7 +277,7 @@
 			continue
 		}
 		asking.Go(func() {
-			m, err := peer.Call[recall, ledger.Memory](ctx, r.daemon.peers, to, peer.KindRecall, question)
+			m, err := peer.Call[recall, ledger.RecallReply](ctx, r.daemon.peers, to, peer.KindRecall, question)
 			if err != nil {
 				r.daemon.raise(doubt{host: name})
 				return
@@ -288,9 +288,9 @@
 		})
 	}
 	asking.Wait()
-	words := make(map[string]ledger.Word, len(replies))
+	words := make(map[string]ledger.ListReport, len(replies))
 	for name, m := range replies {
-		words[name] = m.Word
+		words[name] = m.Lists
 	}
 	r.history.Confirm(question.Asker, words, now)
 	return replies
@@ -302,14 +302,14 @@
 	Asker string     `msgpack:"asker"`
 }
 
-func (r *repeats) takeRecall(_ context.Context, _ netip.AddrPort, q recall) ledger.Memory {
+func (r *repeats) takeRecall(_ context.Context, _ netip.AddrPort, q recall) ledger.RecallReply {
 	now := time.Now()
-	m := ledger.Memory{}
+	m := ledger.RecallReply{}
 	if q.Key != (ledger.Key{}) {
 		m = r.ledger.Recall(q.Key, q.Asker, now)
 		m.Required = r.history.Required(q.Key, now)
 	}
-	m.Word = r.history.Word()
+	m.Lists = r.history.Report()
 	return m
 }
 
--- a/internal/app/router/beats.go
+++ b/internal/app/router/beats.go
@@ -47,7 +47,7 @@
 
 // layout is that of a view.
 type layout struct {
-	*collect.Layout
+	*collect.Topology
 	view *catalog.View
 }
 
@@ -89,19 +89,19 @@
 
 // soon asks for a beat before its time, though not for more than some between two.
 func (b *beats) soon(now time.Time) {
-	if now.Sub(time.Unix(0, b.beaten.Load())) >= collect.Every/earlyBeats {
+	if now.Sub(time.Unix(0, b.beaten.Load())) >= collect.Interval/earlyBeats {
 		b.tell()
 	}
 }
 
 func (b *beats) run() {
 	for b.ctx.Err() == nil {
-		gap := collect.Every
+		gap := collect.Interval
 		if l := b.laidOut(); l.Size() > 0 && b.beat(l) {
-			gap = collect.GroupEvery
+			gap = collect.GroupInterval
 		}
 		if !b.settled {
-			gap = min(gap, collect.Every/earlyBeats)
+			gap = min(gap, collect.Interval/earlyBeats)
 		}
 		select {
 		case <-b.ctx.Done():
@@ -151,15 +151,15 @@
 }
 
 // own is what this daemon tells of itself.
-func (b *beats) own(view *catalog.View, now time.Time) collect.Beat {
+func (b *beats) own(view *catalog.View, now time.Time) collect.Heartbeat {
 	r := b.router
 	leaving := r.closed.Load()
 	seen, work := r.owner.tell(leaving, now)
-	out := collect.Beat{
+	out := collect.Heartbeat{
 		From: r.settings.Peers, Version: version(view), Revision: view.Revision, StoreAge: r.control.fresh.Age(now),
 		Up: now.Sub(b.began), Counts: r.quota.Report(now),
 		Report: demand.Report{
-			Daemons: 1, Services: map[string]demand.Service{r.settings.Service: seen}, Lanes: r.shedder.Demand(now), Repeats: r.repeats.Report(now),
+			Daemons: 1, Services: map[string]demand.Service{r.settings.Service: seen}, Demand: r.shedder.Demand(now), RetryRates: r.repeats.Report(now),
 		},
 		Work: map[string]collect.Work{r.settings.Service: work}, Calls: r.owner.runs.Calls(),
 	}
@@ -171,7 +171,7 @@
 
 // beatForGroup tells the fleet's collector of the group, unless that is this daemon.
 func (b *beats) beatForGroup(l *layout, sent time.Time) {
-	all := collect.Beat{
+	all := collect.Heartbeat{
 		From: b.router.settings.Peers, Version: version(l.view), Revision: l.view.Revision, StoreAge: b.router.control.fresh.BestAge(sent),
 	}
 	for _, host := range l.Fleet(collectorsTried, b.usable(sent)) {
@@ -179,11 +179,11 @@
 			return
 		}
 		if !all.Group {
-			b.collector.Group(&all, l.Members(b.router.settings.Peers.Addr()), sent)
+			b.collector.FillGroup(&all, l.Members(b.router.settings.Peers.Addr()), sent)
 		}
 		if back, ok := b.send(host, all); ok {
-			b.collector.Hear(back, sent)
-			b.collector.Lend(back.Grants, sent)
+			b.collector.Apply(back, sent)
+			b.collector.SetGrants(back.Grants, sent)
 			b.catchUp(host, all, back, sent)
 			return
 		}
@@ -191,13 +191,13 @@
 }
 
 // send sends the beat to the daemon on the host, which is passed over for a while if it doesn't answer.
-func (b *beats) send(host netip.Addr, own collect.Beat) (collect.Answer, bool) {
+func (b *beats) send(host netip.Addr, own collect.Heartbeat) (collect.Reply, bool) {
 	if host == b.router.settings.Peers.Addr() {
 		return b.take(b.ctx, b.router.settings.Peers, own), true
 	}
 	ctx, cancel := context.WithTimeout(b.ctx, beatTime)
 	defer cancel()
-	back, err := peer.Call[collect.Beat, collect.Answer](ctx, b.router.peers, b.router.peerOf(host), peer.KindBeat, own)
+	back, err := peer.Call[collect.Heartbeat, collect.Reply](ctx, b.router.peers, b.router.peerOf(host), peer.KindBeat, own)
 	if err != nil {
 		b.avoid(host, err)
 	}
@@ -214,7 +214,7 @@
 }
 
 func (b *beats) avoid(host netip.Addr, err error) {
-	b.collector.Forget()
+	b.collector.DropPlan()
 	b.mu.Lock()
 	b.avoided[host] = time.Now().Add(avoidTime)
 	b.mu.Unlock()
@@ -225,40 +225,40 @@
 
 // reads reports whether this daemon must follow the store itself: it is one of the readers, or hears nothing current from them.
 func (b *beats) reads(now time.Time) bool {
-	return b.laidOut().Place(b.router.settings.Peers.Addr()) < readers || !b.router.control.fresh.Current(now)
+	return b.laidOut().Position(b.router.settings.Peers.Addr()) < readers || !b.router.control.fresh.Current(now)
 }
 
 // learn takes in what the collector answered.
-func (b *beats) learn(host netip.Addr, own collect.Beat, back collect.Answer, sent time.Time) {
-	made := sent.Add(-back.Word.Age)
+func (b *beats) learn(host netip.Addr, own collect.Heartbeat, back collect.Reply, sent time.Time) {
+	made := sent.Add(-back.Plan.Age)
 	if host != b.router.settings.Peers.Addr() {
-		b.collector.Hear(back, sent)
+		b.collector.Apply(back, sent)
 		b.catchUp(host, own, back, sent)
 	}
-	b.settled = b.settled || back.Word.Settled
-	if back.Word.Settled {
-		b.router.quota.Apply(back.Word.Rates, made)
+	b.settled = b.settled || back.Plan.Settled
+	if back.Plan.Settled {
+		b.router.quota.Apply(back.Plan.Rates, made)
 	}
 	without := b.router.settings.Without
 	if !without.Has(mechanism.Plan) {
-		b.router.shedder.Apply(back.Word.Parts, made)
+		b.router.shedder.Apply(back.Plan.Allocations, made)
 	}
 	if !without.Has(mechanism.LentRetries) {
-		b.router.repeats.Apply(back.Grants, own.Report.Repeats, sent)
+		b.router.repeats.Apply(back.Grants, own.Report.RetryRates, sent)
 	}
 	b.router.metrics.Gauge(telemetry.WordAge).Update(time.Since(made).Seconds())
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.gone = make(map[netip.Addr]bool, len(back.Leaving)+len(back.Silent))
-	for _, h := range slices.Concat(back.Leaving, back.Silent) {
+	b.gone = make(map[netip.Addr]bool, len(back.Leaving)+len(back.Missing))
+	for _, h := range slices.Concat(back.Leaving, back.Missing) {
 		b.gone[h] = true
 	}
-	b.noteSilent(back.Silent)
+	b.noteSilent(back.Missing)
 }
 
 // catchUp takes in how fresh the collector's knowledge of the store is, and asks for what it knows beyond this daemon's.
-func (b *beats) catchUp(host netip.Addr, own collect.Beat, back collect.Answer, sent time.Time) {
-	b.router.control.fresh.Hear(sent, back.StoreAge)
+func (b *beats) catchUp(host netip.Addr, own collect.Heartbeat, back collect.Reply, sent time.Time) {
+	b.router.control.fresh.ObserveCollector(sent, back.StoreAge)
 	if back.Version > own.Version || back.Revision > own.Revision {
 		b.router.control.fetch(b.router.peerOf(host))
 	}
--- a/internal/app/router/collecting.go
+++ b/internal/app/router/collecting.go
@@ -12,7 +12,7 @@
 )
 
 // take answers another daemon's beat.
-func (b *beats) take(_ context.Context, _ netip.AddrPort, in collect.Beat) collect.Answer {
+func (b *beats) take(_ context.Context, _ netip.AddrPort, in collect.Heartbeat) collect.Reply {
 	now := time.Now()
 	view := b.router.view.Load()
 	fleet := collect.Fleet{Daemons: len(view.Hosts()), Members: b.laidOut().Members(b.router.settings.Peers.Addr())}
@@ -22,9 +22,9 @@
 	if in.Version > version(view) || in.Revision > view.Revision {
 		b.router.control.later(in.From)
 	} else {
-		b.router.control.fresh.Vouch(now, in.StoreAge)
+		b.router.control.fresh.ObserveReader(now, in.StoreAge)
 	}
-	out := b.collector.Take(in, fleet, now)
+	out := b.collector.Handle(in, fleet, now)
 	out.Version, out.Revision, out.StoreAge = version(view), view.Revision, b.storeAge(now)
 	return out
 }
@@ -35,7 +35,7 @@
 	if b.laidOut().Flat() {
 		return own
 	}
-	return min(own, b.router.control.fresh.HeardAge(now))
+	return min(own, b.router.control.fresh.CollectorAge(now))
 }
 
 // Planned logs a plan that turns requests away.
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -135,7 +135,7 @@
 
 func (c *control) takeFetch(_ context.Context, _ netip.AddrPort, f fetch) fetched {
 	now := time.Now()
-	out := fetched{StoreAge: min(c.fresh.Age(now), c.fresh.HeardAge(now))}
+	out := fetched{StoreAge: min(c.fresh.Age(now), c.fresh.CollectorAge(now))}
 	c.ask(func() {
 		out.Changes = c.catalog.Since(f.Version, f.Revision, now)
 		out.Whole = c.catalog.Version() > 0 && len(c.catalog.Instances()) > 0
--- a/internal/app/router/owner.go
+++ b/internal/app/router/owner.go
@@ -225,14 +225,14 @@
 func (o *owner) tell(leaving bool, now time.Time) (demand.Service, collect.Work) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	seen := demand.Service{Instances: 1, Fullness: o.gate.Fullness(waitUnit)}
+	seen := demand.Service{Instances: 1, Saturation: o.gate.Fullness(waitUnit)}
 	if o.fullCount > 0 {
-		seen.Fullness = o.fullSum / float64(o.fullCount)
+		seen.Saturation = o.fullSum / float64(o.fullCount)
 	}
 	if o.known && !leaving && o.leaves.IsZero() && now.Sub(o.lost) > lostTime {
 		seen.Slots = o.gate.Load().Limit
 	}
-	work := collect.Work{Held: slices.Collect(maps.Values(o.held)), Seen: o.seen, Wasted: o.wasted}
+	work := collect.Work{HoldTimes: slices.Collect(maps.Values(o.held)), Delivered: o.seen, Retryable: o.wasted}
 	o.fullSum, o.fullCount, o.seen, o.wasted = 0, 0, 0, 0
 	clear(o.held)
 	return seen, work
--- a/internal/app/router/watch.go
+++ b/internal/app/router/watch.go
@@ -99,7 +99,7 @@
 		return 0
 	}
 	c.offer(got.Changes, seed.String())
-	c.fresh.Hear(asked, got.StoreAge)
+	c.fresh.ObserveCollector(asked, got.StoreAge)
 	c.router.beats.tell()
 	return got.Changes.Revision
 }
--- a/internal/decide/allot/planner.go
+++ b/internal/decide/allot/planner.go
@@ -207,7 +207,7 @@
 	cost := map[resource]float64{}
 	p.add(cost, at, 1)
 	for to, count := range s.CallGraph[at.route] {
-		for _, leg := range s.CallGraph.Legs(to, count, s.Shares) {
+		for _, leg := range s.CallGraph.Hops(to, count, s.Shares) {
 			p.add(cost, stage{leg.Route, leg.Service}, leg.Count)
 		}
 	}
--- a/internal/fleet/collect/collector.go
+++ b/internal/fleet/collect/collector.go
@@ -53,7 +53,7 @@
 	// grouped is when this daemon last told of a group.
 	grouped time.Time
 	// heard is the last answer of another collector, whose word was made at heardAt.
-	heard   Answer
+	heard   Reply
 	heardAt time.Time
 }
 
@@ -69,7 +69,7 @@
 	// noteEvery is the least time between two notes on plans.
 	noteEvery = 500 * time.Millisecond
 	// passOnTime is how old another collector's word may be to be passed on: two beats.
-	passOnTime = 2 * Every
+	passOnTime = 2 * Interval
 	// leavingTime is how long the word of a leaving daemon counts: it is gone or back by then.
 	leavingTime = 10 * time.Second
 )
@@ -89,11 +89,11 @@
 	c.rates.Configure(rates)
 }
 
-// Take takes in a beat and answers what the collector knows; the rest of the answer is the caller's.
-func (c *Collector) Take(in Beat, f Fleet, now time.Time) Answer {
+// Handle takes in a beat and answers what the collector knows; the rest of the answer is the caller's.
+func (c *Collector) Handle(in Heartbeat, f Fleet, now time.Time) Reply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.demand.Report(in.From, in.Group, in.Report, now)
+	c.demand.Update(in.From, in.Group, in.Report, now)
 	c.rates.Update(in.From, in.Group, in.Counts, in.Up, now)
 	c.graph.Merge(in.Calls)
 	for service, w := range in.Work {
@@ -102,9 +102,9 @@
 	c.plan(f, now)
 	c.mark(in, now)
 	c.silence.hear(in, now)
-	return Answer{
-		Word: c.word(in, f.Daemons, now), Grants: c.demand.Grants(in.Report.Repeats, in.Report.Daemons, now),
-		Leaving: c.away(now), Silent: c.silent(f.Members, now),
+	return Reply{
+		Plan: c.word(in, f.Daemons, now), Grants: c.demand.Grants(in.Report.RetryRates, in.Report.Daemons, now),
+		Leaving: c.away(now), Missing: c.silent(f.Members, now),
 	}
 }
 
@@ -117,14 +117,14 @@
 		all = append(all, c.silence.among(members, now)...)
 	}
 	if now.Sub(c.heardAt) <= passOnTime {
-		all = append(all, c.heard.Silent...)
+		all = append(all, c.heard.Missing...)
 	}
 	return compact(all)
 }
 
 // listens reports whether this collector is the one that its members tell: not one that a daemon turned to after a lost packet.
 func (c *Collector) listens(now time.Time) bool {
-	return now.Sub(c.grouped) <= 2*Every || !c.passesOn(now)
+	return now.Sub(c.grouped) <= 2*Interval || !c.passesOn(now)
 }
 
 // compact sorts hosts and drops those that are named twice.
@@ -134,10 +134,10 @@
 }
 
 // worked takes in what instances have done.
-func (c *Collector) worked(service string, in Beat, w Work, now time.Time) {
-	c.planner.RecordHoldTimes(service, in.From.Addr(), w.Held, now)
+func (c *Collector) worked(service string, in Heartbeat, w Work, now time.Time) {
+	c.planner.RecordHoldTimes(service, in.From.Addr(), w.HoldTimes, now)
 	if !c.without.Has(mechanism.PlannedRetries) {
-		c.planner.RecordDeliveries(service, w.Seen, w.Wasted, now)
+		c.planner.RecordDeliveries(service, w.Delivered, w.Retryable, now)
 	}
 	if !in.Group {
 		sum := c.work[service]
@@ -148,22 +148,22 @@
 
 // add sums up the work of instances; routes are few, so a list is enough.
 func (w *Work) add(more Work) {
-	w.Seen += more.Seen
-	w.Wasted += more.Wasted
-	for _, h := range more.Held {
+	w.Delivered += more.Delivered
+	w.Retryable += more.Retryable
+	for _, h := range more.HoldTimes {
 		w.hold(h)
 	}
 }
 
 func (w *Work) hold(more allot.HoldTime) {
-	for n := range w.Held {
-		if w.Held[n].Route == more.Route {
-			w.Held[n].Seconds += more.Seconds
-			w.Held[n].Count += more.Count
+	for n := range w.HoldTimes {
+		if w.HoldTimes[n].Route == more.Route {
+			w.HoldTimes[n].Seconds += more.Seconds
+			w.HoldTimes[n].Count += more.Count
 			return
 		}
 	}
-	w.Held = append(w.Held, more)
+	w.HoldTimes = append(w.HoldTimes, more)
 }
 
 // plan works out anew which part of each lane the fleet can do.
@@ -173,7 +173,7 @@
 	}
 	c.planned = now
 	state := allot.State{
-		Demand: c.demand.Lanes(), CallGraph: c.graph.Edges(), Shares: f.Shares, RetryRates: c.demand.Repeats(now), Instances: c.demand.Instances(),
+		Demand: c.demand.Demand(), CallGraph: c.graph.Edges(), Shares: f.Shares, RetryRates: c.demand.RetryRates(now), Instances: c.demand.Instances(),
 	}
 	state.Saturation, state.Slots = c.demand.Services()
 	plan := c.planner.Plan(state, now)
@@ -190,28 +190,28 @@
 // word returns what is known here, or the word of another collector that hears more daemons: that of the fleet, where this one collects
 // for a group, or of the one that a daemon lost a packet to when it told this one of itself. By its own, the few that it hears would be
 // the fleet.
-func (c *Collector) word(in Beat, daemons int, now time.Time) Word {
+func (c *Collector) word(in Heartbeat, daemons int, now time.Time) Plan {
 	if c.passesOn(now) {
-		out := c.heard.Word
+		out := c.heard.Plan
 		out.Age = now.Sub(c.heardAt)
 		return out
 	}
 	heard := c.demand.Daemons()
 	c.rates.SetCoverage(heard, daemons)
-	gap := Every
+	gap := Interval
 	if daemons > flatMost {
-		gap += GroupEvery
+		gap += GroupInterval
 	}
-	return Word{Daemons: heard, Rates: c.rates.Allocations(in.Counts, now), Settled: c.rates.Settled(gap, now), Parts: c.parts}
+	return Plan{Daemons: heard, Rates: c.rates.Allocations(in.Counts, now), Settled: c.rates.Settled(gap, now), Allocations: c.parts}
 }
 
 // passesOn reports whether another collector's word goes before what is known here.
 func (c *Collector) passesOn(now time.Time) bool {
-	return c.heard.Word.Daemons > c.demand.Daemons() && now.Sub(c.heardAt) <= passOnTime
+	return c.heard.Plan.Daemons > c.demand.Daemons() && now.Sub(c.heardAt) <= passOnTime
 }
 
 // mark keeps who leaves.
-func (c *Collector) mark(in Beat, now time.Time) {
+func (c *Collector) mark(in Heartbeat, now time.Time) {
 	if len(in.Leaving) == 0 {
 		delete(c.leaving, in.From)
 		return
@@ -237,36 +237,36 @@
 	return compact(all)
 }
 
-// Hear takes in another collector's answer to a beat that was sent then, and returns when its word was made.
-func (c *Collector) Hear(a Answer, sent time.Time) time.Time {
+// Apply takes in another collector's answer to a beat that was sent then, and returns when its word was made.
+func (c *Collector) Apply(a Reply, sent time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heard, c.heardAt = a, sent.Add(-a.Word.Age)
+	c.heard, c.heardAt = a, sent.Add(-a.Plan.Age)
 	return c.heardAt
 }
 
-// Forget drops the word of another collector, which doesn't answer any more.
-func (c *Collector) Forget() {
+// DropPlan drops the word of another collector, which doesn't answer any more.
+func (c *Collector) DropPlan() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.heardAt = time.Time{}
 }
 
-// Group fills in what the daemons that tell this collector of themselves see together, for the fleet's collector; members are all that
+// FillGroup fills in what the daemons that tell this collector of themselves see together, for the fleet's collector; members are all that
 // should.
-func (c *Collector) Group(b *Beat, members []netip.Addr, now time.Time) {
+func (c *Collector) FillGroup(b *Heartbeat, members []netip.Addr, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.grouped = now
 	c.silence.collects(true, now)
 	b.Group = true
-	b.Silent = c.silence.among(members, now)
-	b.Report = c.demand.Group(now)
+	b.Missing = c.silence.among(members, now)
+	b.Report = c.demand.Aggregate(now)
 	b.Counts, b.Up = c.rates.Totals(now)
 	b.Work, c.work = c.work, map[string]Work{}
 	b.Calls = c.graph.Edges().Clone()
 	for from, l := range c.leaving {
-		if now.Sub(l.at) <= leavingTime && !c.demand.Speaks(from) {
+		if now.Sub(l.at) <= leavingTime && !c.demand.IsGroup(from) {
 			b.Leaving = append(b.Leaving, l.hosts...)
 		}
 	}
@@ -279,9 +279,9 @@
 	return c.silence.heard(now)
 }
 
-// Lend takes in what the fleet's collector lets the group send once more.
-func (c *Collector) Lend(grants map[string]float64, now time.Time) {
+// SetGrants takes in what the fleet's collector lets the group send once more.
+func (c *Collector) SetGrants(grants map[string]float64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.demand.Lend(grants, now)
+	c.demand.SetGrants(grants, now)
 }
--- a/internal/fleet/collect/fleet_test.go
+++ b/internal/fleet/collect/fleet_test.go
@@ -41,7 +41,7 @@
 			for _, a := range slices.Collect(maps.Keys(killed)) {
 				f.at[a].dead = true
 			}
-			f.play(Every+GroupEvery+500*time.Millisecond, 0)
+			f.play(Interval+GroupInterval+500*time.Millisecond, 0)
 			So(f.heardByAll(size*9/10), ShouldEqual, size-len(killed))
 		})
 	})
@@ -107,7 +107,7 @@
 			f.daemons[3].dead = true
 			f.play(2*time.Second, 0)
 			f.boot(f.daemons[3])
-			f.play(2*Every+GroupEvery+step, 0)
+			f.play(2*Interval+GroupInterval+step, 0)
 			for _, d := range f.daemons {
 				So(d.silent, ShouldBeEmpty)
 			}
@@ -174,11 +174,11 @@
 				d.cut = false
 			}
 			// Until they try their collector again, the smaller side holds to its part of the daemons.
-			f.play(avoidFor-2*time.Second+Every, 1)
+			f.play(avoidFor-2*time.Second+Interval, 1)
 			f.asked, f.refused = 0, 0
 			f.play(5*time.Second, 1)
 			// The collector knows their demand a beat and a half after they come back.
-			known := (3 * Every / 2).Seconds()
+			known := (3 * Interval / 2).Seconds()
 			So(f.refused, ShouldBeLessThanOrEqualTo, max(f.asked/50, int(f.rate.PerSecond*known)))
 		})
 	})
@@ -199,17 +199,17 @@
 		one, two := New(silent{}, mechanism.Set{}), New(silent{}, mechanism.Set{})
 		a, b := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
 		report := demand.Report{Daemons: 1}
-		one.Take(Beat{From: a, Report: report}, Fleet{Daemons: 300}, now)
-		two.Take(Beat{From: b, Report: report}, Fleet{Daemons: 300}, now)
+		one.Handle(Heartbeat{From: a, Report: report}, Fleet{Daemons: 300}, now)
+		two.Handle(Heartbeat{From: b, Report: report}, Fleet{Daemons: 300}, now)
 		for range 5 {
-			now = now.Add(GroupEvery)
-			var of1, of2 Beat
-			one.Group(&of1, nil, now)
-			two.Group(&of2, nil, now)
+			now = now.Add(GroupInterval)
+			var of1, of2 Heartbeat
+			one.FillGroup(&of1, nil, now)
+			two.FillGroup(&of2, nil, now)
 			of1.From, of2.From = a, b
 			So(of1.Report.Daemons, ShouldEqual, 1)
-			So(two.Take(of1, Fleet{Daemons: 300}, now).Word.Daemons, ShouldEqual, 2)
-			one.Take(of2, Fleet{Daemons: 300}, now)
+			So(two.Handle(of1, Fleet{Daemons: 300}, now).Plan.Daemons, ShouldEqual, 2)
+			one.Handle(of2, Fleet{Daemons: 300}, now)
 		}
 	})
 }
@@ -219,17 +219,17 @@
 	Convey("A beat for the group stays as it was when more daemons tell of themselves", t, func() {
 		now := time.Unix(1000, 0)
 		c := New(silent{}, mechanism.Set{})
-		beat := func(calls float64) Beat {
-			return Beat{
+		beat := func(calls float64) Heartbeat {
+			return Heartbeat{
 				From: netip.MustParseAddrPort("10.0.0.1:1"), Report: demand.Report{Daemons: 1}, Calls: graph.Edges{"a": {"b": calls}},
-				Work: map[string]Work{"s": {Held: []allot.HoldTime{{Route: "a", Seconds: 1, Count: 1}}}}, Counts: map[string]quota.Count{"o": {Requested: 1}},
+				Work: map[string]Work{"s": {HoldTimes: []allot.HoldTime{{Route: "a", Seconds: 1, Count: 1}}}}, Counts: map[string]quota.Count{"o": {Requested: 1}},
 			}
 		}
-		c.Take(beat(2), Fleet{Daemons: 300}, now)
-		var sent Beat
-		c.Group(&sent, nil, now)
+		c.Handle(beat(2), Fleet{Daemons: 300}, now)
+		var sent Heartbeat
+		c.FillGroup(&sent, nil, now)
 		before := fmt.Sprint(sent)
-		c.Take(beat(8), Fleet{Daemons: 300}, now.Add(Every))
+		c.Handle(beat(8), Fleet{Daemons: 300}, now.Add(Interval))
 		So(fmt.Sprint(sent), ShouldEqual, before)
 	})
 }
--- a/internal/fleet/collect/goroutines_test.go
+++ b/internal/fleet/collect/goroutines_test.go
@@ -27,20 +27,20 @@
 			from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 1)
 			all.Go(func() {
 				for i := range beats {
-					b := Beat{
+					b := Heartbeat{
 						From: from, Report: demand.Report{Daemons: 1}, Calls: graph.Edges{"a": {"b": float64(i)}}, Counts: map[string]quota.Count{"o": {Requested: int64(i)}},
 					}
-					_ = fmt.Sprint(c.Take(b, Fleet{Daemons: 300}, start.Add(time.Duration(i)*time.Millisecond)))
+					_ = fmt.Sprint(c.Handle(b, Fleet{Daemons: 300}, start.Add(time.Duration(i)*time.Millisecond)))
 				}
 			})
 		}
 		for i := range beats {
-			var b Beat
+			var b Heartbeat
 			now := start.Add(time.Duration(i) * time.Millisecond)
-			c.Group(&b, nil, now)
+			c.FillGroup(&b, nil, now)
 			_ = fmt.Sprint(b)
-			c.Hear(Answer{Word: Word{Daemons: 300}}, now)
-			c.Lend(map[string]float64{"s": 1}, now)
+			c.Apply(Reply{Plan: Plan{Daemons: 300}}, now)
+			c.SetGrants(map[string]float64{"s": 1}, now)
 		}
 		all.Wait()
 		So(c.demand.Daemons(), ShouldEqual, tellers)
--- a/internal/fleet/collect/layout.go
+++ b/internal/fleet/collect/layout.go
@@ -16,18 +16,18 @@
 }
 
 const (
-	// Every is the gap between two beats of a daemon.
-	Every = 300 * time.Millisecond
-	// GroupEvery is the gap between two beats of a group's collector.
-	GroupEvery = 150 * time.Millisecond
+	// Interval is the gap between two beats of a daemon.
+	Interval = 300 * time.Millisecond
+	// GroupInterval is the gap between two beats of a group's collector.
+	GroupInterval = 150 * time.Millisecond
 	// flatMost is the largest fleet in which all daemons tell one collector.
 	flatMost = 128
 	// groupMost is how many daemons a group may have on the mean before its zone is parted further.
 	groupMost = 100
 )
 
-// Layout is which daemons collect for which, as all daemons work it out from the same list.
-type Layout struct {
+// Topology is which daemons collect for which, as all daemons work it out from the same list.
+type Topology struct {
 	// order are all hosts in the order in which they collect for the fleet.
 	order  []ranked
 	all    []netip.Addr
@@ -49,8 +49,8 @@
 }
 
 // NewLayout returns the layout of a fleet.
-func NewLayout(hosts []Host) *Layout {
-	l := &Layout{order: make([]ranked, 0, len(hosts)), groups: map[group][]netip.Addr{}, of: make(map[netip.Addr]group, len(hosts))}
+func NewLayout(hosts []Host) *Topology {
+	l := &Topology{order: make([]ranked, 0, len(hosts)), groups: map[group][]netip.Addr{}, of: make(map[netip.Addr]group, len(hosts))}
 	zones := map[string]int{}
 	for _, h := range hosts {
 		l.order = append(l.order, ranked{h, rank(h.Address)})
@@ -93,13 +93,13 @@
 }
 
 // Size is how many daemons there are.
-func (l *Layout) Size() int { return len(l.order) }
+func (l *Topology) Size() int { return len(l.order) }
 
 // Flat reports whether all daemons tell one collector.
-func (l *Layout) Flat() bool { return len(l.groups) == 0 }
+func (l *Topology) Flat() bool { return len(l.groups) == 0 }
 
 // Fleet returns the first hosts of the fleet's order for which usable holds, up to so many.
-func (l *Layout) Fleet(most int, usable func(netip.Addr) bool) []netip.Addr {
+func (l *Topology) Fleet(most int, usable func(netip.Addr) bool) []netip.Addr {
 	first := make([]netip.Addr, 0, most)
 	for _, h := range l.order {
 		if len(first) == most {
@@ -114,7 +114,7 @@
 
 // Group returns the first hosts of the order in the host's group, as Fleet does; those of the fleet where there are no groups, or the
 // host is not listed.
-func (l *Layout) Group(of netip.Addr, most int, usable func(netip.Addr) bool) []netip.Addr {
+func (l *Topology) Group(of netip.Addr, most int, usable func(netip.Addr) bool) []netip.Addr {
 	g, known := l.of[of]
 	if !known {
 		return l.Fleet(most, usable)
@@ -133,15 +133,15 @@
 
 // Members returns the hosts whose daemons tell the collector of the host's group, all of the fleet where there are no groups; the slice
 // must not be changed.
-func (l *Layout) Members(of netip.Addr) []netip.Addr {
+func (l *Topology) Members(of netip.Addr) []netip.Addr {
 	if g, known := l.of[of]; known {
 		return l.groups[g]
 	}
 	return l.all
 }
 
-// Place is how many hosts come before this one in the fleet's order.
-func (l *Layout) Place(of netip.Addr) int {
+// Position is how many hosts come before this one in the fleet's order.
+func (l *Topology) Position(of netip.Addr) int {
 	place, _ := slices.BinarySearchFunc(l.order, rank(of), func(h ranked, r uint64) int { return cmp.Compare(h.rank, r) })
 	return place
 }
--- a/internal/fleet/collect/layout_test.go
+++ b/internal/fleet/collect/layout_test.go
@@ -62,7 +62,7 @@
 		l := NewLayout(listed(300, 5))
 		all := l.Fleet(3, anyHost)
 		So(l.Fleet(2, func(a netip.Addr) bool { return a != all[0] }), ShouldResemble, all[1:])
-		So(l.Place(all[2]), ShouldEqual, 2)
+		So(l.Position(all[2]), ShouldEqual, 2)
 	})
 	Convey("Two instances on one host have one daemon", t, func() {
 		hosts := listed(3, 1)
--- a/internal/fleet/collect/message.go
+++ b/internal/fleet/collect/message.go
@@ -11,8 +11,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/graph"
 )
 
-// Beat tells a collector what a daemon knows and sees, or a group's collector what its group does.
-type Beat struct {
+// Heartbeat tells a collector what a daemon knows and sees, or a group's collector what its group does.
+type Heartbeat struct {
 	From netip.AddrPort `msgpack:"from"`
 	// Version and Revision are those of the configuration and the instances that the sender knows.
 	Version  uint64 `msgpack:"version"`
@@ -31,37 +31,37 @@
 	Calls graph.Edges `msgpack:"calls"`
 	// Leaving are the hosts whose daemons are about to end.
 	Leaving []netip.Addr `msgpack:"leaving"`
-	// Silent are the hosts of the group whose daemons don't tell of themselves any more.
-	Silent []netip.Addr `msgpack:"silent"`
+	// Missing are the hosts of the group whose daemons don't tell of themselves any more.
+	Missing []netip.Addr `msgpack:"silent"`
 	// Heard are the hosts whose daemons have told the sender of themselves, since they did not reach the collector.
 	Heard []netip.Addr `msgpack:"heard"`
 }
 
 // Work is what instances of a service have done over some time.
 type Work struct {
-	// Held is for how long requests have held slots.
-	Held []allot.HoldTime `msgpack:"held"`
-	// Seen is how many requests have reached an instance, and Wasted how many of them have to be sent again.
-	Seen   int `msgpack:"seen"`
-	Wasted int `msgpack:"wasted"`
+	// HoldTimes is for how long requests have held slots.
+	HoldTimes []allot.HoldTime `msgpack:"held"`
+	// Delivered is how many requests have reached an instance, and Wasted how many of them have to be sent again.
+	Delivered int `msgpack:"seen"`
+	Retryable int `msgpack:"wasted"`
 }
 
-// Answer is the answer to a beat.
-type Answer struct {
+// Reply is the answer to a beat.
+type Reply struct {
 	Version  uint64 `msgpack:"version"`
 	Revision uint64 `msgpack:"revision"`
-	Word     Word   `msgpack:"word"`
+	Plan     Plan   `msgpack:"word"`
 	// StoreAge is how long ago the collector heard from the store.
 	StoreAge time.Duration `msgpack:"storeAge"`
 	// Grants are what the daemon may send once more to each service, in repeats a second.
 	Grants map[string]float64 `msgpack:"grants"`
 	// Leaving are the hosts whose daemons are about to end, and Silent those whose daemons don't tell of themselves any more.
 	Leaving []netip.Addr `msgpack:"leaving"`
-	Silent  []netip.Addr `msgpack:"silent"`
+	Missing []netip.Addr `msgpack:"silent"`
 }
 
-// Word is what a collector has worked out from what so many daemons have told.
-type Word struct {
+// Plan is what a collector has worked out from what so many daemons have told.
+type Plan struct {
 	Daemons int `msgpack:"daemons"`
 	// Age is how old the word was when it was passed on.
 	Age time.Duration `msgpack:"age"`
@@ -69,6 +69,6 @@
 	// that the collector has heard of all demand.
 	Rates   map[string]quota.Allocation `msgpack:"rates"`
 	Settled bool                        `msgpack:"settled"`
-	// Parts are the lanes of which not all can be done.
-	Parts []shed.Allocation `msgpack:"parts"`
+	// Allocations are the lanes of which not all can be done.
+	Allocations []shed.Allocation `msgpack:"parts"`
 }
--- a/internal/fleet/collect/model_test.go
+++ b/internal/fleet/collect/model_test.go
@@ -35,7 +35,7 @@
 	rng     *rand.Rand
 	start   time.Time
 	now     time.Time
-	layout  *Layout
+	layout  *Topology
 	rate    quota.Rate
 	daemons []*daemon
 	at      map[netip.Addr]*daemon
@@ -55,7 +55,7 @@
 	began     time.Time
 	next      time.Time
 	avoided   map[netip.Addr]time.Time
-	word      Word
+	word      Plan
 	made      time.Time
 	silent    []netip.Addr
 	answered  int
@@ -96,8 +96,8 @@
 	d.SetDaemons(f.size)
 	d.Collector = New(silent{}, mechanism.Set{})
 	d.Collector.Configure(rates)
-	d.began, d.avoided, d.dead, d.word, d.made = f.now, map[netip.Addr]time.Time{}, false, Word{}, time.Time{}
-	d.next = f.now.Add(time.Duration(f.rng.Float64() * float64(Every)))
+	d.began, d.avoided, d.dead, d.word, d.made = f.now, map[netip.Addr]time.Time{}, false, Plan{}, time.Time{}
+	d.next = f.now.Add(time.Duration(f.rng.Float64() * float64(Interval)))
 }
 
 func (d *daemon) usable(now time.Time) func(netip.Addr) bool {
@@ -105,29 +105,29 @@
 }
 
 // send tells the daemon on the host, unless that is out of reach.
-func (f *fleet) send(d *daemon, to netip.Addr, b Beat) (Answer, bool) {
+func (f *fleet) send(d *daemon, to netip.Addr, b Heartbeat) (Reply, bool) {
 	other := f.at[to]
 	if other.dead || other.cut != d.cut {
 		d.avoided[to] = f.now.Add(avoidFor)
-		d.Forget()
-		return Answer{}, false
+		d.DropPlan()
+		return Reply{}, false
 	}
 	other.answered++
-	return other.Take(b, Fleet{Daemons: len(f.daemons), Members: f.layout.Members(to)}, f.now), true
+	return other.Handle(b, Fleet{Daemons: len(f.daemons), Members: f.layout.Members(to)}, f.now), true
 }
 
 // beat is one of the daemon's.
 func (f *fleet) beat(d *daemon) {
 	own := d.address.Addr()
 	first := f.layout.Group(own, 3, d.usable(f.now))
-	d.next = f.now.Add(Every)
+	d.next = f.now.Add(Interval)
 	if !f.layout.Flat() && first[0] == own {
-		d.next = f.now.Add(GroupEvery)
+		d.next = f.now.Add(GroupInterval)
 		f.beatForGroup(d)
 	}
-	b := Beat{
+	b := Heartbeat{
 		From: d.address, Up: f.now.Sub(d.began), Counts: d.Report(f.now),
-		Report: demand.Report{Daemons: 1, Services: map[string]demand.Service{"s": {Instances: 1, Fullness: 1, Slots: 10}}},
+		Report: demand.Report{Daemons: 1, Services: map[string]demand.Service{"s": {Instances: 1, Saturation: 1, Slots: 10}}},
 	}
 	if first[0] != own {
 		b.Heard = d.Heard(f.now)
@@ -137,31 +137,31 @@
 		if !ok {
 			continue
 		}
-		d.silent = back.Silent
+		d.silent = back.Missing
 		if to != own {
-			d.Collector.Hear(back, f.now)
+			d.Collector.Apply(back, f.now)
 		}
-		d.word, d.made = back.Word, f.now.Add(-back.Word.Age)
-		if back.Word.Settled {
-			d.Quota.Apply(back.Word.Rates, d.made)
+		d.word, d.made = back.Plan, f.now.Add(-back.Plan.Age)
+		if back.Plan.Settled {
+			d.Quota.Apply(back.Plan.Rates, d.made)
 		}
 		return
 	}
 }
 
 func (f *fleet) beatForGroup(d *daemon) {
-	var all Beat
+	var all Heartbeat
 	for _, to := range f.layout.Fleet(3, d.usable(f.now)) {
 		if to == d.address.Addr() {
 			return
 		}
 		if !all.Group {
 			all.From = d.address
-			d.Group(&all, f.layout.Members(d.address.Addr()), f.now)
+			d.FillGroup(&all, f.layout.Members(d.address.Addr()), f.now)
 		}
 		if back, ok := f.send(d, to, all); ok {
-			d.Collector.Hear(back, f.now)
-			d.Lend(back.Grants, f.now)
+			d.Collector.Apply(back, f.now)
+			d.SetGrants(back.Grants, f.now)
 			return
 		}
 	}
--- a/internal/fleet/collect/silence.go
+++ b/internal/fleet/collect/silence.go
@@ -9,9 +9,9 @@
 
 const (
 	// silentAfter is how long after its last beat a daemon counts as silent: two beats that did not come.
-	silentAfter = 2*Every + 200*time.Millisecond
+	silentAfter = 2*Interval + 200*time.Millisecond
 	// listenTime is how long a collector must have been the one that daemons tell before it knows who is silent.
-	listenTime = silentAfter + Every
+	listenTime = silentAfter + Interval
 	// groupTime is how long a group's word on who is silent counts.
 	groupTime = time.Second
 )
@@ -38,13 +38,13 @@
 }
 
 // hear takes in whose sign of life a beat is.
-func (s *silence) hear(in Beat, now time.Time) {
+func (s *silence) hear(in Heartbeat, now time.Time) {
 	s.last[in.From.Addr()] = now
 	for _, h := range in.Heard {
 		s.last[h] = now
 	}
 	if in.Group {
-		s.groups[in.From] = toldSilent{in.Silent, now}
+		s.groups[in.From] = toldSilent{in.Missing, now}
 	}
 }
 
--- a/internal/fleet/demand/collector.go
+++ b/internal/fleet/demand/collector.go
@@ -37,26 +37,26 @@
 	Daemons int `msgpack:"daemons"`
 	// Services are those of the instances beside them.
 	Services map[string]Service `msgpack:"services"`
-	// Lanes is what callers ask for there.
-	Lanes []shed.Rate `msgpack:"lanes"`
-	// Repeats are what the daemons may and would like to send once more to each service.
-	Repeats map[string]repeats.Rates `msgpack:"repeats"`
+	// Demand is what callers ask for there.
+	Demand []shed.Rate `msgpack:"lanes"`
+	// RetryRates are what the daemons may and would like to send once more to each service.
+	RetryRates map[string]repeats.Rates `msgpack:"repeats"`
 }
 
 // Service is what is seen of instances of one service.
 type Service struct {
 	Instances int `msgpack:"instances"`
-	// Fullness adds up, over the instances, the part of their slots in use, above 1 by how long requests wait.
-	Fullness float64 `msgpack:"fullness"`
+	// Saturation adds up, over the instances, the part of their slots in use, above 1 by how long requests wait.
+	Saturation float64 `msgpack:"fullness"`
 	// Slots are those that can be used now.
 	Slots int `msgpack:"slots"`
 }
 
 func (s Service) plus(sign int, other Service) Service {
 	return Service{
-		Instances: s.Instances + sign*other.Instances,
-		Fullness:  s.Fullness + float64(sign)*other.Fullness,
-		Slots:     s.Slots + sign*other.Slots,
+		Instances:  s.Instances + sign*other.Instances,
+		Saturation: s.Saturation + float64(sign)*other.Saturation,
+		Slots:      s.Slots + sign*other.Slots,
 	}
 }
 
@@ -87,8 +87,8 @@
 	}
 }
 
-// Report replaces the report of the daemon, or of the group that a collector speaks for.
-func (c *Collector) Report(from netip.AddrPort, group bool, r Report, now time.Time) {
+// Update replaces the report of the daemon, or of the group that a collector speaks for.
+func (c *Collector) Update(from netip.AddrPort, group bool, r Report, now time.Time) {
 	if old, known := c.reports[from]; known {
 		c.add(old.Report, -1)
 	}
@@ -101,10 +101,10 @@
 
 func (c *Collector) add(r Report, sign int) {
 	c.daemons += sign * r.Daemons
-	for _, l := range r.Lanes {
+	for _, l := range r.Demand {
 		c.lanes[l.Class] += float64(sign) * l.PerSecond
 	}
-	for name, own := range r.Repeats {
+	for name, own := range r.RetryRates {
 		sum := c.repeats[name]
 		c.repeats[name] = repeats.Rates{Earned: sum.Earned + float64(sign)*own.Earned, Wanted: sum.Wanted + float64(sign)*own.Wanted}
 	}
@@ -131,30 +131,30 @@
 // rounding is what sums and differences of reports may leave over.
 const rounding = 1e-6
 
-// Group returns the sum of the daemons' own reports, without those of groups: were these passed on too, two collectors that
+// Aggregate returns the sum of the daemons' own reports, without those of groups: were these passed on too, two collectors that
 // each take the other for that of the fleet would count them ever again.
-func (c *Collector) Group(now time.Time) Report {
+func (c *Collector) Aggregate(now time.Time) Report {
 	sum := New()
 	for _, from := range slices.SortedFunc(maps.Keys(c.reports), netip.AddrPort.Compare) {
 		if r := c.reports[from]; !r.group && now.Sub(r.at) <= reportTime {
 			sum.add(r.Report, 1)
 		}
 	}
-	out := Report{Daemons: sum.daemons, Services: sum.services, Repeats: sum.repeats}
+	out := Report{Daemons: sum.daemons, Services: sum.services, RetryRates: sum.repeats}
 	for l, perSecond := range sum.lanes {
-		out.Lanes = append(out.Lanes, shed.Rate{Class: l, PerSecond: perSecond})
+		out.Demand = append(out.Demand, shed.Rate{Class: l, PerSecond: perSecond})
 	}
 	return out
 }
 
-// Speaks reports whether the last report of the sender was for a group.
-func (c *Collector) Speaks(from netip.AddrPort) bool { return c.reports[from].group }
+// IsGroup reports whether the last report of the sender was for a group.
+func (c *Collector) IsGroup(from netip.AddrPort) bool { return c.reports[from].group }
 
-// Lanes returns what callers ask for over all daemons, in requests a second; it must not be changed, and holds until the next report.
-func (c *Collector) Lanes() map[shed.Class]float64 { return c.lanes }
+// Demand returns what callers ask for over all daemons, in requests a second; it must not be changed, and holds until the next report.
+func (c *Collector) Demand() map[shed.Class]float64 { return c.lanes }
 
-// Repeats returns what the fleet may and would like to send once more to each service.
-func (c *Collector) Repeats(now time.Time) map[string]repeats.Rates {
+// RetryRates returns what the fleet may and would like to send once more to each service.
+func (c *Collector) RetryRates(now time.Time) map[string]repeats.Rates {
 	all := make(map[string]repeats.Rates, len(c.repeats))
 	for name := range c.repeats {
 		all[name] = c.together(name, now)
@@ -162,8 +162,8 @@
 	return all
 }
 
-// Lend takes in what the daemons here may send once more together, in repeats a second, by the word of the fleet's collector.
-func (c *Collector) Lend(all map[string]float64, now time.Time) { c.lent, c.lentAt = all, now }
+// SetGrants takes in what the daemons here may send once more together, in repeats a second, by the word of the fleet's collector.
+func (c *Collector) SetGrants(all map[string]float64, now time.Time) { c.lent, c.lentAt = all, now }
 
 // together is what all daemons here may and would like to send once more to a service.
 func (c *Collector) together(service string, now time.Time) repeats.Rates {
@@ -196,7 +196,7 @@
 	clear(c.most)
 	wanted := map[string][]float64{}
 	for _, r := range c.reports {
-		for name, w := range r.Repeats {
+		for name, w := range r.RetryRates {
 			// A group's are taken to want alike.
 			if sum := c.together(name, now); sum.Wanted >= sum.Earned {
 				wanted[name] = append(wanted[name], slices.Repeat([]float64{w.Wanted / float64(r.Daemons)}, r.Daemons)...)
@@ -212,7 +212,7 @@
 func (c *Collector) Services() (fullness, slots map[string]float64) {
 	fullness, slots = map[string]float64{}, map[string]float64{}
 	for name, s := range c.services {
-		fullness[name] = s.Fullness / float64(s.Instances)
+		fullness[name] = s.Saturation / float64(s.Instances)
 		slots[name] = float64(s.Slots)
 	}
 	return fullness, slots
--- a/internal/fleet/demand/collector_bench_test.go
+++ b/internal/fleet/demand/collector_bench_test.go
@@ -17,12 +17,12 @@
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
 			c := New()
 			r := one("s0", 1.1, 40, 0)
-			r.Repeats, r.Lanes = map[string]repeats.Rates{}, nil
+			r.RetryRates, r.Demand = map[string]repeats.Rates{}, nil
 			for n := range services {
-				r.Repeats[fmt.Sprint("s", n)] = repeats.Rates{Earned: 5, Wanted: 20}
+				r.RetryRates[fmt.Sprint("s", n)] = repeats.Rates{Earned: 5, Wanted: 20}
 			}
 			for n := range lanes {
-				r.Lanes = append(r.Lanes, shed.Rate{Class: shed.Class{Route: fmt.Sprint("r", n)}, PerSecond: 10})
+				r.Demand = append(r.Demand, shed.Rate{Class: shed.Class{Route: fmt.Sprint("r", n)}, PerSecond: 10})
 			}
 			each := gap / time.Duration(daemons)
 			now := time.Unix(1000, 0)
@@ -31,8 +31,8 @@
 				now = now.Add(each)
 				n++
 				from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n % daemons >> 8), byte(n % daemons)}), 1)
-				c.Report(from, false, r, now)
-				c.Grants(r.Repeats, 1, now)
+				c.Update(from, false, r, now)
+				c.Grants(r.RetryRates, 1, now)
 			}
 		})
 	}
--- a/internal/fleet/fresh/fresh.go
+++ b/internal/fleet/fresh/fresh.go
@@ -51,18 +51,18 @@
 	return now.Sub(s.heard)
 }
 
-// Hear takes in how old a collector's word was when it answered a question sent at the time.
-func (s *State) Hear(sent time.Time, age time.Duration) {
+// ObserveCollector takes in how old a collector's word was when it answered a question sent at the time.
+func (s *State) ObserveCollector(sent time.Time, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.current = sent.Add(Limit - age)
 }
 
-// Vouch takes in how long ago the store answered another reader, of which this daemon knows all that it knows.
+// ObserveReader takes in how long ago the store answered another reader, of which this daemon knows all that it knows.
 //
 // The store may turn the collector away and serve the other readers. What these tell the collector is then as current as if it
 // had read it; without that, all daemons would follow the store themselves for as long as it lasts.
-func (s *State) Vouch(now time.Time, age time.Duration) {
+func (s *State) ObserveReader(now time.Time, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if at := now.Add(-age); at.After(s.vouched) {
@@ -81,8 +81,8 @@
 	return min(own, now.Sub(s.vouched))
 }
 
-// HeardAge is how old the collector's last word from the store is by now.
-func (s *State) HeardAge(now time.Time) time.Duration {
+// CollectorAge is how old the collector's last word from the store is by now.
+func (s *State) CollectorAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current.IsZero() {
--- a/internal/fleet/fresh/fresh_test.go
+++ b/internal/fleet/fresh/fresh_test.go
@@ -41,15 +41,15 @@
 			if failed > 0 {
 				collector.Failed()
 			}
-			daemon.Hear(at(c.asked), collector.Age(at(c.asked)))
+			daemon.ObserveCollector(at(c.asked), collector.Age(at(c.asked)))
 			So(daemon.Current(at(c.looked)), ShouldEqual, c.current)
 		})
 	}
 	Convey("A word that isn't current takes back an earlier one that was", t, func() {
 		var daemon State
-		daemon.Hear(start, 0)
+		daemon.ObserveCollector(start, 0)
 		So(daemon.Current(at(100)), ShouldBeTrue)
-		daemon.Hear(at(110), Stale)
+		daemon.ObserveCollector(at(110), Stale)
 		So(daemon.Current(at(120)), ShouldBeFalse)
 	})
 }
@@ -64,15 +64,15 @@
 		collector.Answered(at(0))
 		collector.Failed()
 		So(collector.BestAge(at(100)), ShouldEqual, Stale)
-		collector.Vouch(at(200), 50*time.Millisecond)
+		collector.ObserveReader(at(200), 50*time.Millisecond)
 		So(collector.BestAge(at(300)), ShouldEqual, 150*time.Millisecond)
-		daemon.Hear(at(300), collector.BestAge(at(300)))
+		daemon.ObserveCollector(at(300), collector.BestAge(at(300)))
 		So(daemon.Current(at(400)), ShouldBeTrue)
 	})
 	Convey("An older word takes nothing back, and the collector's own goes before it", t, func() {
 		var collector State
-		collector.Vouch(at(200), 0)
-		collector.Vouch(at(210), Stale)
+		collector.ObserveReader(at(200), 0)
+		collector.ObserveReader(at(210), Stale)
 		So(collector.BestAge(at(300)), ShouldEqual, 100*time.Millisecond)
 		collector.Answered(at(290))
 		So(collector.BestAge(at(300)), ShouldEqual, 10*time.Millisecond)
--- a/internal/fleet/graph/graph.go
+++ b/internal/fleet/graph/graph.go
@@ -68,27 +68,27 @@
 // mostDepth is how deep calls are followed.
 const mostDepth = 16
 
-// Leg is one service that calls on a route lead to, with how many requests it gets for each request at the beginning.
-type Leg struct {
+// Hop is one service that calls on a route lead to, with how many requests it gets for each request at the beginning.
+type Hop struct {
 	Route   string
 	Service string
 	Count   float64
 }
 
-// Legs returns all services that so many calls on the route lead to, with the calls below them; parts returns the services of a
+// Hops returns all services that so many calls on the route lead to, with the calls below them; parts returns the services of a
 // route with their shares.
-func (e Edges) Legs(route string, count float64, parts func(route string) map[string]float64) []Leg {
-	var legs []Leg
-	e.follow(route, count, 0, parts, func(l Leg) { legs = append(legs, l) })
+func (e Edges) Hops(route string, count float64, parts func(route string) map[string]float64) []Hop {
+	var legs []Hop
+	e.follow(route, count, 0, parts, func(l Hop) { legs = append(legs, l) })
 	return legs
 }
 
-func (e Edges) follow(route string, times float64, depth int, parts func(string) map[string]float64, visit func(Leg)) {
+func (e Edges) follow(route string, times float64, depth int, parts func(string) map[string]float64, visit func(Hop)) {
 	if depth > mostDepth || times < least {
 		return
 	}
 	for service, share := range parts(route) {
-		visit(Leg{Route: route, Service: service, Count: times * share})
+		visit(Hop{Route: route, Service: service, Count: times * share})
 	}
 	for to, count := range e[route] {
 		e.follow(to, times*count, depth+1, parts, visit)
--- a/internal/fleet/graph/graph_test.go
+++ b/internal/fleet/graph/graph_test.go
@@ -15,7 +15,7 @@
 	}
 	way := func(e Edges, route string) map[string]float64 {
 		all := map[string]float64{}
-		for _, l := range e.Legs(route, 1, parts) {
+		for _, l := range e.Hops(route, 1, parts) {
 			all[l.Service] += l.Count
 		}
 		return all
--- a/internal/fleet/ledger/claim_string.go
+++ b/internal/fleet/ledger/claim_string.go
@@ -13,7 +13,7 @@
 	_ = x[Answered-2]
 	_ = x[Doubtful-3]
 	_ = x[Mismatched-4]
-	_ = x[Crowded-5]
+	_ = x[Full-5]
 }
 
 const _Claim_name = "begunjoinedanswereddoubtfulmismatchedcrowded"
--- a/internal/fleet/ledger/history.go
+++ b/internal/fleet/ledger/history.go
@@ -49,8 +49,8 @@
 	Last  uint64   `msgpack:"last"`
 }
 
-// Word is what a daemon said of its lists.
-type Word struct {
+// ListReport is what a daemon said of its lists.
+type ListReport struct {
 	Version uint64   `msgpack:"version"`
 	Hosts   []string `msgpack:"hosts"`
 	// Past are the earlier lists that it keeps in mind and that have not ended.
@@ -96,7 +96,7 @@
 }
 
 // Confirm notes what the others said of their lists.
-func (h *History) Confirm(self string, words map[string]Word, now time.Time) {
+func (h *History) Confirm(self string, words map[string]ListReport, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	same, whole := h.agreeing(self, words)
@@ -119,7 +119,7 @@
 }
 
 // agreeing counts the newest list's hosts that have it, and those others among them that missed no list.
-func (h *History) agreeing(self string, words map[string]Word) (same, whole int) {
+func (h *History) agreeing(self string, words map[string]ListReport) (same, whole int) {
 	newest := h.newest()
 	for _, host := range newest {
 		word, heard := words[host]
@@ -139,7 +139,7 @@
 // over reports whether the hosts that may still have the list are no majority of it.
 //
 // A daemon's version never falls, so one that has a newer list does not come back to this one.
-func (l *hostList) over(self string, words map[string]Word) bool {
+func (l *hostList) over(self string, words map[string]ListReport) bool {
 	gone := 0
 	for _, host := range l.hosts {
 		word, heard := words[host]
@@ -151,7 +151,7 @@
 }
 
 // adopt takes over the earlier lists that others keep in mind.
-func (h *History) adopt(words map[string]Word) {
+func (h *History) adopt(words map[string]ListReport) {
 	for _, word := range words {
 		for _, past := range word.Past {
 			known := slices.ContainsFunc(h.lists, func(l hostList) bool { return slices.Equal(l.hosts, past.Hosts) })
@@ -162,11 +162,11 @@
 	}
 }
 
-// Word returns what this daemon says of its lists.
-func (h *History) Word() Word {
+// Report returns what this daemon says of its lists.
+func (h *History) Report() ListReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	w := Word{Version: h.version, Hosts: h.newest(), Gap: h.gap}
+	w := ListReport{Version: h.version, Hosts: h.newest(), Gap: h.gap}
 	for i := range len(h.lists) - 1 {
 		if l := h.lists[i]; l.ended.IsZero() {
 			w.Past = append(w.Past, Past{Hosts: l.hosts, Last: l.last})
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -78,7 +78,7 @@
 	if !ok {
 		e, ok = l.add(k, now)
 		if !ok {
-			return Ticket{Claim: Crowded, Wait: l.roomIn(now)}
+			return Ticket{Claim: Full, Wait: l.roomIn(now)}
 		}
 	} else if e.state != Moved && e.fingerprint != p {
 		return Ticket{Claim: Mismatched}
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -91,7 +91,7 @@
 		So(taken("flood", begin), ShouldEqual, 5)
 		So(taken("other", begin), ShouldEqual, 5)
 		refused := l.Begin(aKey, Fingerprint{}, begin.Add(20*time.Second))
-		So(refused.Claim, ShouldEqual, Crowded)
+		So(refused.Claim, ShouldEqual, Full)
 		So(refused.Wait, ShouldEqual, 40*time.Second)
 		So(l.Recall(aKey, "other", begin).State, ShouldEqual, Lost)
 		So(taken("flood", begin.Add(time.Minute)), ShouldEqual, 5)
@@ -120,32 +120,32 @@
 	old, young := time.Minute, time.Second
 	cases := []struct {
 		name string
-		q    Question
+		q    Evidence
 		want bool
 	}{
-		{"a holder that remembers the whole window", Question{Own: Memory{Age: old}, Required: []string{"me"}}, true},
-		{"one that has just started", Question{Own: Memory{Age: young}, Required: []string{"me"}}, false},
-		{"one that has just started, with a new key", Question{Own: Memory{Age: young}, Need: time.Millisecond, Required: []string{"me"}}, true},
-		{"one whose memory another keeps", Question{
-			Own: Memory{Age: young}, Required: []string{"me"},
-			Replies: map[string]Memory{"b": {Age: old, Legacies: map[string]time.Duration{"me": old}}},
+		{"a holder that remembers the whole window", Evidence{Own: RecallReply{Age: old}, Required: []string{"me"}}, true},
+		{"one that has just started", Evidence{Own: RecallReply{Age: young}, Required: []string{"me"}}, false},
+		{"one that has just started, with a new key", Evidence{Own: RecallReply{Age: young}, Need: time.Millisecond, Required: []string{"me"}}, true},
+		{"one whose memory another keeps", Evidence{
+			Own: RecallReply{Age: young}, Required: []string{"me"},
+			Replies: map[string]RecallReply{"b": {Age: old, Legacies: map[string]time.Duration{"me": old}}},
 		}, true},
-		{"an earlier holder that can't be reached", Question{Own: Memory{Age: old}, Required: []string{"gone", "me"}}, false},
-		{"an earlier holder that another knows of and that can't be reached", Question{
-			Own: Memory{Age: old}, Required: []string{"me"},
-			Replies: map[string]Memory{"b": {Age: old, Required: []string{"gone"}}},
+		{"an earlier holder that can't be reached", Evidence{Own: RecallReply{Age: old}, Required: []string{"gone", "me"}}, false},
+		{"an earlier holder that another knows of and that can't be reached", Evidence{
+			Own: RecallReply{Age: old}, Required: []string{"me"},
+			Replies: map[string]RecallReply{"b": {Age: old, Required: []string{"gone"}}},
 		}, false},
-		{"an earlier holder that knows nothing", Question{Own: Memory{Age: old}, Required: []string{"b", "me"}, Replies: map[string]Memory{"b": {Age: old}}}, true},
-		{"an earlier holder that knows the key", Question{
-			Own: Memory{Age: old}, Required: []string{"b", "me"}, Replies: map[string]Memory{"b": {Age: old, State: Lost}},
+		{"an earlier holder that knows nothing", Evidence{Own: RecallReply{Age: old}, Required: []string{"b", "me"}, Replies: map[string]RecallReply{"b": {Age: old}}}, true},
+		{"an earlier holder that knows the key", Evidence{
+			Own: RecallReply{Age: old}, Required: []string{"b", "me"}, Replies: map[string]RecallReply{"b": {Age: old, State: Lost}},
 		}, false},
-		{"a key that went to a daemon which crashed since", Question{
-			Own: Memory{Age: old}, Required: []string{"me"}, Moves: []Move{{To: "b", Ago: 2 * young}},
-			Replies: map[string]Memory{"b": {Age: young}},
+		{"a key that went to a daemon which crashed since", Evidence{
+			Own: RecallReply{Age: old}, Required: []string{"me"}, Moves: []Move{{To: "b", Ago: 2 * young}},
+			Replies: map[string]RecallReply{"b": {Age: young}},
 		}, false},
-		{"a key that went to a daemon which still remembers", Question{
-			Own: Memory{Age: old}, Required: []string{"me"}, Moves: []Move{{To: "b", Ago: 2 * young}},
-			Replies: map[string]Memory{"b": {Age: old}},
+		{"a key that went to a daemon which still remembers", Evidence{
+			Own: RecallReply{Age: old}, Required: []string{"me"}, Moves: []Move{{To: "b", Ago: 2 * young}},
+			Replies: map[string]RecallReply{"b": {Age: old}},
 		}, true},
 	}
 	Convey("A request runs only if no daemon can have run it", t, func() {
@@ -170,21 +170,21 @@
 	Convey("With a list that lost a key's holder", t, func() {
 		h := NewHistory(time.Minute)
 		h.Observe(1, three, begin)
-		h.Confirm("a", map[string]Word{"b": {Version: 1, Hosts: three}}, begin)
+		h.Confirm("a", map[string]ListReport{"b": {Version: 1, Hosts: three}}, begin)
 		now := begin.Add(time.Hour)
 		h.Observe(2, two, now)
 		Convey("the earlier holder counts until the new list is confirmed and what it may do is over", func() {
 			later := now.Add(time.Hour)
 			So(h.Required(key, later), ShouldContain, "c")
-			h.Confirm("a", map[string]Word{"b": {Version: 2, Hosts: two}}, later)
+			h.Confirm("a", map[string]ListReport{"b": {Version: 2, Hosts: two}}, later)
 			So(h.Required(key, later.Add(90*time.Second)), ShouldContain, "c")
 			So(h.Required(key, later.Add(91*time.Second)), ShouldNotContain, "c")
 		})
 		Convey("the new list counts only while most of its hosts have it", func() {
 			So(h.Confirmed(now), ShouldBeFalse)
-			h.Confirm("a", map[string]Word{"b": {Version: 1, Hosts: three}}, now)
+			h.Confirm("a", map[string]ListReport{"b": {Version: 1, Hosts: three}}, now)
 			So(h.Confirmed(now), ShouldBeFalse)
-			h.Confirm("a", map[string]Word{"b": {Version: 2, Hosts: two}}, now)
+			h.Confirm("a", map[string]ListReport{"b": {Version: 2, Hosts: two}}, now)
 			So(h.Confirmed(now), ShouldBeTrue)
 			So(h.Confirmed(now.Add(30*time.Second)), ShouldBeFalse)
 		})
@@ -193,7 +193,7 @@
 			h.Observe(3, []string{"a"}, moved)
 			h.Confirm("a", nil, moved)
 			So(h.Required(key, moved.Add(time.Hour)), ShouldContain, "c")
-			h.Confirm("a", map[string]Word{"b": {Version: 3, Hosts: []string{"a"}}}, moved.Add(time.Hour))
+			h.Confirm("a", map[string]ListReport{"b": {Version: 3, Hosts: []string{"a"}}}, moved.Add(time.Hour))
 			So(h.Required(key, moved.Add(2*time.Hour)), ShouldNotContain, "c")
 		})
 		Convey("a list that was skipped may have named anybody", func() {
--- a/internal/fleet/ledger/model_lists_test.go
+++ b/internal/fleet/ledger/model_lists_test.go
@@ -73,7 +73,7 @@
 func (m *model) witnessed(next []string) bool {
 	for _, name := range next {
 		d := m.find(name)
-		if d.alive && d.seen == len(m.lists)-1 && !d.history.Word().Gap {
+		if d.alive && d.seen == len(m.lists)-1 && !d.history.Report().Gap {
 			return true
 		}
 	}
--- a/internal/fleet/ledger/model_test.go
+++ b/internal/fleet/ledger/model_test.go
@@ -203,10 +203,10 @@
 
 // confirm has a daemon ask which list the others of its own list have.
 func (m *model) confirm(d *modelDaemon) {
-	words := map[string]Word{}
+	words := map[string]ListReport{}
 	for _, name := range d.history.Everyone(m.now) {
 		if name != d.name && m.reach(d.name, name) {
-			words[name] = m.find(name).history.Word()
+			words[name] = m.find(name).history.Report()
 		}
 	}
 	d.history.Confirm(d.name, words, m.now)
@@ -220,7 +220,7 @@
 	if !d.history.Confirmed(m.now) {
 		return false
 	}
-	q := Question{
+	q := Evidence{
 		Self: d.name, Own: d.ledger.Own(m.now), Moves: a.ticket.Moves, Window: modelWindow,
 		Need: a.key.Age(m.now, modelWindow), Required: d.history.Required(a.key, m.now),
 	}
@@ -230,7 +230,7 @@
 	if !q.Asking() {
 		return true
 	}
-	q.Replies = map[string]Memory{}
+	q.Replies = map[string]RecallReply{}
 	for _, name := range d.history.Everyone(m.now) {
 		if name != d.name && m.reach(d.name, name) {
 			other := m.find(name)
--- a/internal/fleet/ledger/recall.go
+++ b/internal/fleet/ledger/recall.go
@@ -12,8 +12,8 @@
 	Ago time.Duration `msgpack:"ago"`
 }
 
-// Memory is a daemon's answer to another that wants to run a key's request.
-type Memory struct {
+// RecallReply is a daemon's answer to another that wants to run a key's request.
+type RecallReply struct {
 	State       State       `msgpack:"state"`
 	Fingerprint Fingerprint `msgpack:"fingerprint"`
 	Answer      call.Answer `msgpack:"answer"`
@@ -23,8 +23,8 @@
 	Age time.Duration `msgpack:"age"`
 	// Legacies are the ages of the memories that others passed on to it.
 	Legacies map[string]time.Duration `msgpack:"legacies"`
-	// Word is what the daemon says of its lists.
-	Word Word `msgpack:"word"`
+	// Lists is what the daemon says of its lists.
+	Lists ListReport `msgpack:"word"`
 	// Required are the daemons that may have held the key, as far as this one knows.
 	Required []string `msgpack:"required"`
 }
@@ -53,11 +53,11 @@
 // Two daemons with different host lists can both take themselves for a key's
 // holder. Whichever asks first fences the other; if both ask at once, each finds
 // the other at it and neither runs the request.
-func (l *Ledger) Recall(k Key, asker string, now time.Time) Memory {
+func (l *Ledger) Recall(k Key, asker string, now time.Time) RecallReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
-	m := Memory{Age: l.age(now), Legacies: l.legacyAges(now)}
+	m := RecallReply{Age: l.age(now), Legacies: l.legacyAges(now)}
 	e, ok := l.entries[k]
 	if !ok {
 		if e, ok = l.add(k, now); !ok {
@@ -77,11 +77,11 @@
 }
 
 // Own returns the daemon's own memory of how far back it and its legacies reach.
-func (l *Ledger) Own(now time.Time) Memory {
+func (l *Ledger) Own(now time.Time) RecallReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
-	return Memory{Age: l.age(now), Legacies: l.legacyAges(now)}
+	return RecallReply{Age: l.age(now), Legacies: l.legacyAges(now)}
 }
 
 func (l *Ledger) age(now time.Time) time.Duration { return min(now.Sub(l.born), l.window) }
--- a/internal/fleet/ledger/state.go
+++ b/internal/fleet/ledger/state.go
@@ -33,6 +33,6 @@
 	Doubtful // doubtful
 	// Mismatched means that the key was given to another request.
 	Mismatched // mismatched
-	// Crowded means that no more keys can be remembered now.
-	Crowded // crowded
+	// Full means that no more keys can be remembered now.
+	Full // crowded
 )
--- a/internal/fleet/ledger/vouch.go
+++ b/internal/fleet/ledger/vouch.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Question is all that decides whether a key's request may run.
-type Question struct {
+// Evidence is all that decides whether a key's request may run.
+type Evidence struct {
 	// Self is the asking daemon, Own its memory, Moves what it noted of the key before.
 	Self  string
-	Own   Memory
+	Own   RecallReply
 	Moves []Move
 	// Window is how long keys are remembered.
 	Window time.Duration
@@ -19,17 +19,17 @@
 	// Required are the daemons that may have held the key within that time.
 	Required []string
 	// Replies are the memories of those that answered.
-	Replies map[string]Memory
+	Replies map[string]RecallReply
 }
 
 // Known returns what another daemon remembers of the key, or false.
-func (q *Question) Known() (Memory, bool) {
+func (q *Evidence) Known() (RecallReply, bool) {
 	for _, m := range q.Replies {
 		if m.State != Absent && m.State != Moved {
 			return m, true
 		}
 	}
-	return Memory{}, false
+	return RecallReply{}, false
 }
 
 // New reports whether no daemon can have run the key's request.
@@ -39,7 +39,7 @@
 // can't be reached leaves a doubt, and in doubt nothing runs: a second charge is
 // worse than an answer that says the outcome is unknown. A key that went to a
 // daemon which has since lost its memory is doubtful too.
-func (q *Question) New() bool {
+func (q *Evidence) New() bool {
 	if _, known := q.Known(); known {
 		return false
 	}
@@ -58,22 +58,22 @@
 //
 // A region that is away has lost no memory. Would its silence be told like a crash, callers would be told
 // that coming back does not help, and find out by hand what became of bookings that nobody had begun.
-func (q *Question) Pending() bool {
+func (q *Evidence) Pending() bool {
 	heard := *q
 	heard.Replies = maps.Clone(q.Replies)
 	if heard.Replies == nil {
-		heard.Replies = map[string]Memory{}
+		heard.Replies = map[string]RecallReply{}
 	}
 	for _, host := range q.wanted() {
 		if _, ok := q.age(host); !ok {
-			heard.Replies[host] = Memory{Age: math.MaxInt64}
+			heard.Replies[host] = RecallReply{Age: math.MaxInt64}
 		}
 	}
 	return !q.New() && heard.New()
 }
 
 // wanted returns the daemons whose word the answer needs, as far as this one and those heard know.
-func (q *Question) wanted() []string {
+func (q *Evidence) wanted() []string {
 	hosts, moves := q.Required, q.Moves
 	for _, m := range q.Replies {
 		hosts, moves = append(hosts[:len(hosts):len(hosts)], m.Required...), append(moves[:len(moves):len(moves)], m.Moves...)
@@ -86,7 +86,7 @@
 
 // Asking reports whether the other daemons have to be asked at all; in a fleet
 // whose hosts stay the same, a holder knows by itself.
-func (q *Question) Asking() bool {
+func (q *Evidence) Asking() bool {
 	for _, host := range q.Required {
 		if host != q.Self {
 			return true
@@ -95,7 +95,7 @@
 	return len(q.Moves) > 0 || q.Own.Age < q.Need
 }
 
-func (q *Question) allCovered(hosts []string) bool {
+func (q *Evidence) allCovered(hosts []string) bool {
 	for _, host := range hosts {
 		if !q.covered(host) {
 			return false
@@ -105,7 +105,7 @@
 }
 
 // covered reports whether a daemon's memory, or one that it passed on, reaches back far enough.
-func (q *Question) covered(host string) bool {
+func (q *Evidence) covered(host string) bool {
 	if age, ok := q.age(host); ok && age >= q.Need {
 		return true
 	}
@@ -121,7 +121,7 @@
 }
 
 // settled reports whether the daemons that a key went to still have the memory of that time.
-func (q *Question) settled(moves []Move) bool {
+func (q *Evidence) settled(moves []Move) bool {
 	for _, m := range moves {
 		age, ok := q.age(m.To)
 		if !ok || (age <= m.Ago && age < q.Window) {
@@ -131,7 +131,7 @@
 	return true
 }
 
-func (q *Question) age(host string) (time.Duration, bool) {
+func (q *Evidence) age(host string) (time.Duration, bool) {
 	if host == q.Self {
 		return q.Own.Age, true
 	}
--- a/internal/load/mesh/fleet.go
+++ b/internal/load/mesh/fleet.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, h := range f.hosts {
-		f.clock.After(time.Duration(f.random.Float64()*float64(collect.Every)), h.beat)
+		f.clock.After(time.Duration(f.random.Float64()*float64(collect.Interval)), h.beat)
 	}
 	f.clock.Run(f.start.Add(length))
 	return f.result
--- a/internal/load/mesh/host.go
+++ b/internal/load/mesh/host.go
@@ -74,31 +74,31 @@
 // beat tells the collector what the host sees, and takes in its plan.
 func (h *host) beat() {
 	f := h.fleet
-	f.clock.After(collect.Every, h.beat)
+	f.clock.After(collect.Interval, h.beat)
 	full := h.gate.Fullness(waitUnit)
 	if h.fullCount > 0 {
 		full = h.fullSum / h.fullCount
 	}
 	h.fullSum, h.fullCount = 0, 0
-	told := collect.Beat{
+	told := collect.Heartbeat{
 		From: netip.AddrPortFrom(h.instance.Address.Addr(), 1),
 		Report: demand.Report{
-			Daemons: 1, Services: map[string]demand.Service{h.instance.Service: {Instances: 1, Fullness: full, Slots: h.slots()}},
-			Lanes: h.shedder.Demand(f.now()), Repeats: h.repeats.Report(f.now()),
+			Daemons: 1, Services: map[string]demand.Service{h.instance.Service: {Instances: 1, Saturation: full, Slots: h.slots()}},
+			Demand: h.shedder.Demand(f.now()), RetryRates: h.repeats.Report(f.now()),
 		},
-		Work:  map[string]collect.Work{h.instance.Service: {Held: slices.Collect(maps.Values(h.held)), Seen: h.seen, Wasted: h.wasted}},
+		Work:  map[string]collect.Work{h.instance.Service: {HoldTimes: slices.Collect(maps.Values(h.held)), Delivered: h.seen, Retryable: h.wasted}},
 		Calls: h.runs.Calls(),
 	}
 	clear(h.held)
 	h.seen, h.wasted = 0, 0
 	f.clock.After(oneWay, func() {
-		back := f.collector.Take(told, collect.Fleet{Daemons: len(f.hosts), Shares: f.shares}, f.now())
+		back := f.collector.Handle(told, collect.Fleet{Daemons: len(f.hosts), Shares: f.shares}, f.now())
 		f.clock.After(oneWay, func() {
 			if !f.without(mechanism.Plan) {
-				h.shedder.Apply(back.Word.Parts, f.now())
+				h.shedder.Apply(back.Plan.Allocations, f.now())
 			}
 			if !f.without(mechanism.LentRetries) {
-				h.repeats.Apply(back.Grants, told.Report.Repeats, f.now())
+				h.repeats.Apply(back.Grants, told.Report.RetryRates, f.now())
 			}
 		})
 	})
