--- a/internal/app/router/beats.go
+++ b/internal/app/router/beats.go
@@ -18,11 +18,11 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// beats tell a collector, which is one of the daemons, what this daemon sees and knows, and learn what all see.
+// reporter tell a collector, which is one of the daemons, what this daemon sees and knows, and learn what all see.
 //
 // Nothing between daemons lasts or has to agree: a collector that is gone is replaced by the next in an order that all daemons
 // compute alike, and has heard from everybody within one beat.
-type beats struct {
+type reporter struct {
 	router    *Router
 	collector *collect.Collector
 	now       chan struct{}
@@ -65,22 +65,22 @@
 	readers = 3
 )
 
-func newBeats(r *Router) *beats {
+func newBeats(r *Router) *reporter {
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &beats{router: r, now: make(chan struct{}, 1), ctx: ctx, cancel: cancel, began: time.Now(), avoided: map[netip.Addr]time.Time{}}
+	b := &reporter{router: r, now: make(chan struct{}, 1), ctx: ctx, cancel: cancel, began: time.Now(), avoided: map[netip.Addr]time.Time{}}
 	b.collector = collect.New(b, r.settings.Without)
 	return b
 }
 
-func (b *beats) start() { b.done.Go(b.run) }
+func (b *reporter) start() { b.done.Go(b.run) }
 
-func (b *beats) stop() {
+func (b *reporter) stop() {
 	b.cancel()
 	b.done.Wait()
 }
 
 // tell asks for a beat right now.
-func (b *beats) tell() {
+func (b *reporter) tell() {
 	select {
 	case b.now <- struct{}{}:
 	default:
@@ -88,13 +88,13 @@
 }
 
 // soon asks for a beat before its time, though not for more than some between two.
-func (b *beats) soon(now time.Time) {
+func (b *reporter) soon(now time.Time) {
 	if now.Sub(time.Unix(0, b.beaten.Load())) >= collect.Interval/earlyBeats {
 		b.tell()
 	}
 }
 
-func (b *beats) run() {
+func (b *reporter) run() {
 	for b.ctx.Err() == nil {
 		gap := collect.Interval
 		if l := b.laidOut(); l.Size() > 0 && b.beat(l) {
@@ -112,7 +112,7 @@
 }
 
 // laidOut returns the layout of the fleet as it is listed now.
-func (b *beats) laidOut() *layout {
+func (b *reporter) laidOut() *layout {
 	view := b.router.view.Load()
 	if l := b.layout.Load(); l != nil && l.view == view {
 		return l
@@ -128,7 +128,7 @@
 }
 
 // beat tells the first collector that answers; true means that this daemon collects for a group.
-func (b *beats) beat(l *layout) bool {
+func (b *reporter) beat(l *layout) bool {
 	sent := time.Now()
 	b.beaten.Store(sent.UnixNano())
 	self := b.router.settings.Peers.Addr()
@@ -151,7 +151,7 @@
 }
 
 // own is what this daemon tells of itself.
-func (b *beats) own(view *catalog.View, now time.Time) collect.Heartbeat {
+func (b *reporter) own(view *catalog.View, now time.Time) collect.Heartbeat {
 	r := b.router
 	leaving := r.closed.Load()
 	seen, work := r.owner.tell(leaving, now)
@@ -170,7 +170,7 @@
 }
 
 // beatForGroup tells the fleet's collector of the group, unless that is this daemon.
-func (b *beats) beatForGroup(l *layout, sent time.Time) {
+func (b *reporter) beatForGroup(l *layout, sent time.Time) {
 	all := collect.Heartbeat{
 		From: b.router.settings.Peers, Version: version(l.view), Revision: l.view.Revision, StoreAge: b.router.control.fresh.BestAge(sent),
 	}
@@ -191,7 +191,7 @@
 }
 
 // send sends the beat to the daemon on the host, which is passed over for a while if it doesn't answer.
-func (b *beats) send(host netip.Addr, own collect.Heartbeat) (collect.Reply, bool) {
+func (b *reporter) send(host netip.Addr, own collect.Heartbeat) (collect.Reply, bool) {
 	if host == b.router.settings.Peers.Addr() {
 		return b.take(b.ctx, b.router.settings.Peers, own), true
 	}
@@ -205,7 +205,7 @@
 }
 
 // usable tells which hosts can be told, leaving out those that did not answer lately.
-func (b *beats) usable(now time.Time) func(netip.Addr) bool {
+func (b *reporter) usable(now time.Time) func(netip.Addr) bool {
 	return func(host netip.Addr) bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -213,7 +213,7 @@
 	}
 }
 
-func (b *beats) avoid(host netip.Addr, err error) {
+func (b *reporter) avoid(host netip.Addr, err error) {
 	b.collector.DropPlan()
 	b.mu.Lock()
 	b.avoided[host] = time.Now().Add(avoidTime)
@@ -224,12 +224,12 @@
 }
 
 // reads reports whether this daemon must follow the store itself: it is one of the readers, or hears nothing current from them.
-func (b *beats) reads(now time.Time) bool {
+func (b *reporter) reads(now time.Time) bool {
 	return b.laidOut().Position(b.router.settings.Peers.Addr()) < readers || !b.router.control.fresh.Current(now)
 }
 
 // learn takes in what the collector answered.
-func (b *beats) learn(host netip.Addr, own collect.Heartbeat, back collect.Reply, sent time.Time) {
+func (b *reporter) learn(host netip.Addr, own collect.Heartbeat, back collect.Reply, sent time.Time) {
 	made := sent.Add(-back.Plan.Age)
 	if host != b.router.settings.Peers.Addr() {
 		b.collector.Apply(back, sent)
@@ -257,7 +257,7 @@
 }
 
 // catchUp takes in how fresh the collector's knowledge of the store is, and asks for what it knows beyond this daemon's.
-func (b *beats) catchUp(host netip.Addr, own collect.Heartbeat, back collect.Reply, sent time.Time) {
+func (b *reporter) catchUp(host netip.Addr, own collect.Heartbeat, back collect.Reply, sent time.Time) {
 	b.router.control.fresh.ObserveCollector(sent, back.StoreAge)
 	if back.Version > own.Version || back.Revision > own.Revision {
 		b.router.control.fetch(b.router.peerOf(host))
@@ -265,7 +265,7 @@
 }
 
 // noteSilent logs how many daemons are silent when that changes.
-func (b *beats) noteSilent(hosts []netip.Addr) {
+func (b *reporter) noteSilent(hosts []netip.Addr) {
 	if len(hosts) == b.silent {
 		return
 	}
@@ -281,7 +281,7 @@
 const mostNamed = 20
 
 // away reports whether the daemon on the host has said that it leaves, or doesn't tell of itself any more.
-func (b *beats) away(host netip.Addr) bool {
+func (b *reporter) away(host netip.Addr) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.gone[host]
--- a/internal/app/router/collecting.go
+++ b/internal/app/router/collecting.go
@@ -12,7 +12,7 @@
 )
 
 // take answers another daemon's beat.
-func (b *beats) take(_ context.Context, _ netip.AddrPort, in collect.Heartbeat) collect.Reply {
+func (b *reporter) take(_ context.Context, _ netip.AddrPort, in collect.Heartbeat) collect.Reply {
 	now := time.Now()
 	view := b.router.view.Load()
 	fleet := collect.Fleet{Daemons: len(view.Hosts()), Members: b.laidOut().Members(b.router.settings.Peers.Addr())}
@@ -30,7 +30,7 @@
 }
 
 // storeAge is how old what this daemon knows of the store is: by its own reading or another reader's, or by the collector that it hears.
-func (b *beats) storeAge(now time.Time) time.Duration {
+func (b *reporter) storeAge(now time.Time) time.Duration {
 	own := b.router.control.fresh.BestAge(now)
 	if b.laidOut().Flat() {
 		return own
@@ -39,11 +39,11 @@
 }
 
 // Planned logs a plan that turns requests away.
-func (b *beats) Planned(shortages []allot.Shortage, lanes int) {
+func (b *reporter) Planned(shortages []allot.Shortage, lanes int) {
 	b.router.log.WithFields(logrus.Fields{"shortages": shortages, "lanes": lanes}).Info("plan")
 }
 
 // Leaves logs that a daemon is about to end.
-func (b *beats) Leaves(host netip.Addr) {
+func (b *reporter) Leaves(host netip.Addr) {
 	b.router.log.WithField("host", host.String()).Info("daemon leaves")
 }
--- a/internal/app/router/ending_test.go
+++ b/internal/app/router/ending_test.go
@@ -12,8 +12,8 @@
 func TestWhoseFailureItIs(t *testing.T) {
 	// Guards against driving work away from instances that are well because a service below them fails.
 	Convey("A failure speaks against the instance unless a call of its run failed", t, func() {
-		So(ending(ran{Outcome: call.Whole, Status: 500}, nil), ShouldEqual, choice.Failed)
-		So(ending(ran{Outcome: call.Whole, Status: 500, CallFailed: true}, nil), ShouldEqual, choice.Withdrawn)
-		So(ending(ran{Outcome: call.Whole, Status: 200}, nil), ShouldEqual, choice.Served)
+		So(ending(runResult{Outcome: call.Whole, Status: 500}, nil), ShouldEqual, choice.Failed)
+		So(ending(runResult{Outcome: call.Whole, Status: 500, CallFailed: true}, nil), ShouldEqual, choice.Withdrawn)
+		So(ending(runResult{Outcome: call.Whole, Status: 200}, nil), ShouldEqual, choice.Served)
 	})
 }
--- a/internal/app/router/front.go
+++ b/internal/app/router/front.go
@@ -43,7 +43,7 @@
 	rank   shed.Rank
 	shed   shed.Decision
 	quota  quota.Decision
-	trail  trail
+	trail  attempts
 	// fullness and callRefused are what the offers brought back: see ran.
 	fullness    float64
 	callRefused bool
@@ -122,7 +122,7 @@
 	q.deadline = q.begun.Add(patience(head.Timeout, route.Timeout))
 	q.nested = organisation == nil && table.Keyed()
 	q.rank = rank(route, organisation)
-	q.priority = priority(table.Standing(route, organisation))
+	q.priority = priority(table.RelativeRank(route, organisation))
 	return call.Answer{}, true
 }
 
--- a/internal/app/router/message.go
+++ b/internal/app/router/message.go
@@ -9,8 +9,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/catalog"
 )
 
-// run hands a request on to the daemon beside the chosen instance.
-type run struct {
+// runRequest hands a request on to the daemon beside the chosen instance.
+type runRequest struct {
 	RequestID string              `msgpack:"requestId"`
 	Instance  routing.Incarnation `msgpack:"instance"`
 	Route     string              `msgpack:"route"`
@@ -33,8 +33,8 @@
 	Repeat bool `msgpack:"repeat"`
 }
 
-// ran is the answer to run.
-type ran struct {
+// runResult is the answer to run.
+type runResult struct {
 	Outcome    call.Outcome  `msgpack:"outcome"`
 	Reason     call.Reason   `msgpack:"reason"`
 	Status     int           `msgpack:"status"`
@@ -44,8 +44,8 @@
 	Load       call.Load     `msgpack:"load"`
 	// Arrived means that the request reached the instance, whether or not it ran.
 	Arrived bool `msgpack:"arrived"`
-	// Fullness is the part of its slots that the fullest service on the request's way had in use, above 1 by how long requests wait.
-	Fullness float64 `msgpack:"fullness"`
+	// Saturation is the part of its slots that the fullest service on the request's way had in use, above 1 by how long requests wait.
+	Saturation float64 `msgpack:"fullness"`
 	// CallRefused means that a call of the request was refused for a full service.
 	CallRefused bool `msgpack:"callRefused"`
 	// CallFailed means that a call of the request failed.
--- a/internal/app/router/owner.go
+++ b/internal/app/router/owner.go
@@ -21,8 +21,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/instance"
 )
 
-// owner runs requests on the instance beside the daemon, as many at once as it has slots.
-type owner struct {
+// executor runs requests on the instance beside the daemon, as many at once as it has slots.
+type executor struct {
 	heads    Heads
 	instance *instance.Client
 
@@ -60,8 +60,8 @@
 	goneWait = 500 * time.Millisecond
 )
 
-func newOwner(s Settings, heads Heads) *owner {
-	o := &owner{heads: heads, instance: instance.New(s.Instance), runs: lineage.New(), drainTime: s.DrainTime, without: s.Without, held: map[string]allot.HoldTime{}}
+func newOwner(s Settings, heads Heads) *executor {
+	o := &executor{heads: heads, instance: instance.New(s.Instance), runs: lineage.New(), drainTime: s.DrainTime, without: s.Without, held: map[string]allot.HoldTime{}}
 	o.gate = newGate(unknownSlots)
 	return o
 }
@@ -74,7 +74,7 @@
 const slotsPart = 0.95
 
 // observe takes in what is published of the instance on this host; another start of it begins with an empty gate.
-func (o *owner) observe(i routing.Instance, known bool) {
+func (o *executor) observe(i routing.Instance, known bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !known {
@@ -95,14 +95,14 @@
 
 // closed reports whether nothing new may be sent to the instance any more, since it has been leaving for a while. Requests
 // that were sent here before others knew, or have waited here, would reach it in its last moments.
-func (o *owner) closed(now time.Time) bool {
+func (o *executor) closed(now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return !o.leaves.IsZero() && now.Sub(o.leaves) > o.drainTime/2
 }
 
 // admits returns the gate for requests to the start of the instance, or false if another is known to be here by now.
-func (o *owner) admits(i routing.Incarnation) (*admission.Gate, bool) {
+func (o *executor) admits(i routing.Incarnation) (*admission.Gate, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.known && o.current.Incarnation() != i {
@@ -111,16 +111,16 @@
 	return o.gate, true
 }
 
-func (o *owner) load() call.Load {
+func (o *executor) load() call.Load {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.gate.Load()
 }
 
-func (o *owner) stop() { o.instance.Close() }
+func (o *executor) stop() { o.instance.Close() }
 
 // run runs the request on the instance, or refuses it before the instance has seen it.
-func (o *owner) run(ctx context.Context, m *run) ran {
+func (o *executor) run(ctx context.Context, m *runRequest) runResult {
 	begun := time.Now()
 	gate, ok := o.admits(m.Instance)
 	if !ok {
@@ -135,7 +135,7 @@
 			d.Reason = call.Cancelled
 		}
 		out := refused(call.Refuse(d.Reason, d.RetryAfter), gate.Load())
-		out.Fullness = full
+		out.Saturation = full
 		return out
 	}
 	started := time.Now()
@@ -149,14 +149,14 @@
 	gate.Settle(now, t, result(out, now.Sub(started)))
 	o.ended(m, out, now.Sub(started), now)
 	out.Load = gate.Load()
-	out.Fullness = max(out.Fullness, full)
+	out.Saturation = max(out.Saturation, full)
 	return out
 }
 
 // ticket is the request's place in the queue. A call goes before callers' requests of its own priority, since the work that was done
 // for it would be lost, and not before those of a higher one: a map that takes one slot for a moment would wait behind the
 // calls of all lookups.
-func (o *owner) ticket(m *run, deadline time.Time) *admission.Ticket {
+func (o *executor) ticket(m *runRequest, deadline time.Time) *admission.Ticket {
 	t := &admission.Ticket{Organisation: m.Organisation, Operation: m.Route, Weight: 1, Priority: m.Priority, Deadline: deadline}
 	if m.Nested {
 		t.Priority++
@@ -173,7 +173,7 @@
 const nestedWeight = 8
 
 // found takes in how full the instance was when a request came.
-func (o *owner) found(full float64) {
+func (o *executor) found(full float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.fullSum += full
@@ -181,7 +181,7 @@
 }
 
 // ended takes in for how long a request has held a slot, whether it has to be sent again, and whether the instance is there.
-func (o *owner) ended(m *run, out ran, took time.Duration, now time.Time) {
+func (o *executor) ended(m *runRequest, out runResult, took time.Duration, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if out.Arrived {
@@ -204,7 +204,7 @@
 }
 
 // wasted reports whether the request reached the instance in vain and may be sent once more.
-func (out *ran) wasted(idempotent bool) bool {
+func (out *runResult) wasted(idempotent bool) bool {
 	switch {
 	case out.Reason == call.UpstreamShed:
 		return true
@@ -222,7 +222,7 @@
 
 // tell returns what is seen of the instance: how full requests found it, its slots that can be used, which are none where
 // the daemon leaves, and for how long requests have held them and how many came to nothing since the last time.
-func (o *owner) tell(leaving bool, now time.Time) (demand.Service, collect.Work) {
+func (o *executor) tell(leaving bool, now time.Time) (demand.Service, collect.Work) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	seen := demand.Service{Instances: 1, Saturation: o.gate.Fullness(waitUnit)}
@@ -245,6 +245,6 @@
 // and callers find answers good that take some times that.
 const waitUnit = 50 * time.Millisecond
 
-func refused(a call.Answer, load call.Load) ran {
-	return ran{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Load: load}
+func refused(a call.Answer, load call.Load) runResult {
+	return runResult{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Load: load}
 }
--- a/internal/app/router/place.go
+++ b/internal/app/router/place.go
@@ -124,15 +124,15 @@
 func (r *Router) offer(ctx context.Context, q *request, i routing.Instance) offered {
 	begun := time.Now()
 	m := r.message(q, i, begun)
-	var back ran
+	var back runResult
 	var err error
 	switch to := r.peerOf(i.Address.Addr()); {
 	case to.Addr() == r.settings.Peers.Addr():
 		back = r.owner.run(ctx, &m)
 	case m.Idempotent:
-		back, err = peer.CallUnlessSilent[run, ran](ctx, r.peers, to, peer.KindRun, m)
+		back, err = peer.CallUnlessSilent[runRequest, runResult](ctx, r.peers, to, peer.KindRun, m)
 	default:
-		back, err = peer.Call[run, ran](ctx, r.peers, to, peer.KindRun, m)
+		back, err = peer.Call[runRequest, runResult](ctx, r.peers, to, peer.KindRun, m)
 	}
 	now := time.Now()
 	if err != nil {
@@ -151,8 +151,8 @@
 }
 
 // meet takes in how full the services were that the request has met at one instance.
-func (q *request) meet(back ran) {
-	q.fullness = max(q.fullness, back.Fullness)
+func (q *request) meet(back runResult) {
+	q.fullness = max(q.fullness, back.Saturation)
 	q.callRefused = back.CallRefused || back.Reason.Overload()
 }
 
@@ -161,8 +161,8 @@
 	return netip.AddrPortFrom(host, r.settings.Peers.Port())
 }
 
-func (r *Router) message(q *request, i routing.Instance, now time.Time) run {
-	return run{
+func (r *Router) message(q *request, i routing.Instance, now time.Time) runRequest {
+	return runRequest{
 		RequestID: q.id, Instance: i.Incarnation(), Route: q.route.Name, Root: q.root, CallerService: r.settings.Service, Organisation: q.organisation,
 		Method: q.method, Target: q.target, HTTPHost: q.httpHost, Header: q.header, Body: q.body,
 		Remaining: q.deadline.Sub(now), Priority: q.priority, Idempotent: q.route.Repeat == routing.Idempotent,
@@ -171,7 +171,7 @@
 }
 
 // unanswered is what an error of the way to another daemon says of the request: not run only where it did not leave whole.
-func unanswered(ctx context.Context, err error) ran {
+func unanswered(ctx context.Context, err error) runResult {
 	var a call.Answer
 	switch {
 	case errors.Is(err, peer.ErrNotSent) && errors.Is(ctx.Err(), context.Canceled):
@@ -185,11 +185,11 @@
 	default:
 		a = call.Lose(call.AnswerLost)
 	}
-	return ran{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Arrived: a.Outcome != call.NotRun}
+	return runResult{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Arrived: a.Outcome != call.NotRun}
 }
 
 // ending tells the chooser what the end of an offer says of the instance.
-func ending(back ran, err error) choice.Result {
+func ending(back runResult, err error) choice.Result {
 	switch {
 	case err != nil && back.Outcome == call.NotRun && back.Reason != call.Cancelled:
 		return choice.Unreachable
--- a/internal/app/router/record.go
+++ b/internal/app/router/record.go
@@ -15,8 +15,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/httpd"
 )
 
-// trail is what became of a request at each instance that it was offered to.
-type trail []step
+// attempts is what became of a request at each instance that it was offered to.
+type attempts []step
 
 // step is one offer.
 type step struct {
@@ -31,7 +31,7 @@
 	Limit    int    `json:"limit"`
 }
 
-func (t *trail) add(i routing.Instance, e choice.Result, back ran, took time.Duration) {
+func (t *attempts) add(i routing.Instance, e choice.Result, back runResult, took time.Duration) {
 	s := step{
 		Instance: i.ID, Ending: e.String(), Status: back.Status, TookMs: took.Milliseconds(), WaitedMs: back.Waited.Milliseconds(),
 		InFlight: back.Load.InFlight, Queued: back.Load.Queued, Limit: back.Load.Limit,
@@ -81,7 +81,7 @@
 }
 
 // concludeRun logs a run for another daemon that did not end whole.
-func (r *Router) concludeRun(m *run, out *ran) {
+func (r *Router) concludeRun(m *runRequest, out *runResult) {
 	if out.Outcome == call.Whole {
 		return
 	}
--- a/internal/app/router/router.go
+++ b/internal/app/router/router.go
@@ -40,9 +40,9 @@
 	quota    *quota.Quota
 	repeats  *repeats.Budget
 	shedder  *shed.Shedder
-	owner    *owner
+	owner    *executor
 	control  *control
-	beats    *beats
+	beats    *reporter
 
 	callers  *httpd.Server
 	health   *httpd.Server
--- a/internal/app/router/send.go
+++ b/internal/app/router/send.go
@@ -14,7 +14,7 @@
 )
 
 // execute sends the request to the instance.
-func (o *owner) execute(ctx context.Context, m *run, deadline time.Time) ran {
+func (o *executor) execute(ctx context.Context, m *runRequest, deadline time.Time) runResult {
 	header := m.Header.Clone()
 	if header == nil {
 		header = http.Header{}
@@ -27,12 +27,12 @@
 	o.runs.Begin(run, now.Add(deadline.Sub(now).Truncate(time.Millisecond)))
 	out := o.send(ctx, m, header, deadline)
 	o.runs.End(run, out.Outcome == call.Whole && out.Status < statusFailed)
-	out.Fullness, out.CallRefused = run.Saturation()
+	out.Saturation, out.CallRefused = run.Saturation()
 	out.CallFailed = out.Status >= statusFailed && o.runs.CausedByCall(run, time.Now())
 	return out
 }
 
-func (o *owner) send(ctx context.Context, m *run, header http.Header, deadline time.Time) ran {
+func (o *executor) send(ctx context.Context, m *runRequest, header http.Header, deadline time.Time) runResult {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	res, err := o.instance.Do(ctx, &instance.Request{
@@ -49,7 +49,7 @@
 }
 
 // failed tells what an error says of the request: not run only where no byte of it left.
-func (o *owner) failed(ctx context.Context, err error) ran {
+func (o *executor) failed(ctx context.Context, err error) runResult {
 	cancelled := errors.Is(context.Cause(ctx), context.Canceled)
 	overdue := errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 	if errors.Is(err, instance.ErrUnsent) {
@@ -70,28 +70,28 @@
 		reason = call.TimedOut
 	}
 	lost := call.Lose(reason)
-	return ran{Outcome: lost.Outcome, Reason: lost.Reason, Status: lost.Status, Arrived: true}
+	return runResult{Outcome: lost.Outcome, Reason: lost.Reason, Status: lost.Status, Arrived: true}
 }
 
 // read takes the instance's answer as it is, unless it can't be the instance's own whole answer.
-func (o *owner) read(res instance.Response) ran {
+func (o *executor) read(res instance.Response) runResult {
 	head := o.heads.Answer(res.Status, res.Header)
 	if head.NotRun {
 		a := call.Refuse(call.UpstreamShed, shedWait)
-		return ran{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Arrived: true}
+		return runResult{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Arrived: true}
 	}
 	if head.Encoded || !head.Authentic && res.Status < http.StatusBadRequest {
 		lost := call.Lose(call.AnswerLost)
-		return ran{Outcome: lost.Outcome, Reason: lost.Reason, Status: lost.Status, Arrived: true}
+		return runResult{Outcome: lost.Outcome, Reason: lost.Reason, Status: lost.Status, Arrived: true}
 	}
-	return ran{Outcome: call.Whole, Status: res.Status, Header: res.Header, Body: res.Body, Arrived: true}
+	return runResult{Outcome: call.Whole, Status: res.Status, Header: res.Header, Body: res.Body, Arrived: true}
 }
 
 // shedWait is when to come back to a service whose instances turn requests away: some requests have ended by then.
 const shedWait = 250 * time.Millisecond
 
 // result tells the gate how a run ended.
-func result(out ran, took time.Duration) admission.Result {
+func result(out runResult, took time.Duration) admission.Result {
 	r := admission.Result{Own: took}
 	switch {
 	case out.Reason == call.UpstreamShed:
--- a/internal/app/router/taken.go
+++ b/internal/app/router/taken.go
@@ -12,7 +12,7 @@
 //
 // Others hear of it within a beat, so what still comes is answered in the same round trip and goes to another
 // instance; run here, it could last longer than the process.
-func (r *Router) takeRun(ctx context.Context, _ netip.AddrPort, m run) ran {
+func (r *Router) takeRun(ctx context.Context, _ netip.AddrPort, m runRequest) runResult {
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
 	if r.closed.Load() {
--- a/internal/domain/routing/table.go
+++ b/internal/domain/routing/table.go
@@ -79,9 +79,9 @@
 	return rank{route.Rank, route.Rank}
 }
 
-// Standing tells where the organisation's requests on the route stand among all that are configured, from 0 for those that go first to
+// RelativeRank tells where the organisation's requests on the route stand among all that are configured, from 0 for those that go first to
 // 1 for the last. Where all organisations have the same rank, only the routes tell them apart.
-func (t *Table) Standing(route *Route, organisation *Organisation) float64 {
+func (t *Table) RelativeRank(route *Route, organisation *Organisation) float64 {
 	return t.standings[rankOf(route, organisation)]
 }
 
--- a/internal/domain/routing/table_test.go
+++ b/internal/domain/routing/table_test.go
@@ -114,15 +114,15 @@
 	Convey("Where organisations are alike, the routes' ranks count", t, func() {
 		table := NewTable(Config{Routes: routes, Organisations: []Organisation{{Name: "a", Ranked: true, Rank: 1}, {Name: "b", Ranked: true, Rank: 1}}})
 		o, _ := table.Organisation("a")
-		So(table.Standing(&routes[0], o), ShouldBeLessThan, table.Standing(&routes[1], o))
-		So(table.Standing(&routes[1], o), ShouldBeLessThan, table.Standing(&routes[2], o))
+		So(table.RelativeRank(&routes[0], o), ShouldBeLessThan, table.RelativeRank(&routes[1], o))
+		So(table.RelativeRank(&routes[1], o), ShouldBeLessThan, table.RelativeRank(&routes[2], o))
 	})
 	Convey("Otherwise the organisation's goes first", t, func() {
 		table := NewTable(Config{Routes: routes, Organisations: []Organisation{{Name: "a", Ranked: true}, {Name: "b", Ranked: true, Rank: 2}}})
 		a, _ := table.Organisation("a")
 		b, _ := table.Organisation("b")
-		So(table.Standing(&routes[2], a), ShouldBeLessThan, table.Standing(&routes[0], b))
-		So(table.Standing(&routes[0], a), ShouldEqual, 0)
-		So(table.Standing(&routes[2], b), ShouldEqual, 1)
+		So(table.RelativeRank(&routes[2], a), ShouldBeLessThan, table.RelativeRank(&routes[0], b))
+		So(table.RelativeRank(&routes[0], a), ShouldEqual, 0)
+		So(table.RelativeRank(&routes[2], b), ShouldEqual, 1)
 	})
 }
--- a/internal/load/mesh/loads_test.go
+++ b/internal/load/mesh/loads_test.go
@@ -25,7 +25,7 @@
 func between(route string, from, to time.Duration) func(Result) float64 {
 	return func(r Result) float64 {
 		t := r.Between(route, from, to)
-		return t.Served()
+		return t.Goodput()
 	}
 }
 
@@ -104,7 +104,7 @@
 		r := Play(s, 25*time.Second)
 		part := func(route string) float64 {
 			t := r.Between(route, from, to)
-			return t.Served() / float64(len(seeds))
+			return t.Goodput() / float64(len(seeds))
 		}
 		served.notices += part("notice")
 		served.lookups += part("lookup")
--- a/internal/load/mesh/tally.go
+++ b/internal/load/mesh/tally.go
@@ -25,7 +25,7 @@
 }
 
 // Sent is what was sent to a service over some time, for the first time and once more.
-type Sent struct{ Requests, Repeats int }
+type Sent struct{ Requests, Retries int }
 
 // perSecond is how many parts of a second what was sent to services is counted in.
 const perSecond = 10
@@ -47,14 +47,14 @@
 	sum := func(from int) (sum Sent) {
 		for n := max(from, 0); n < min(from+window, len(sent)); n++ {
 			sum.Requests += sent[n].Requests
-			sum.Repeats += sent[n].Repeats
+			sum.Retries += sent[n].Retries
 		}
 		return sum
 	}
 	worst := -b.Slack
 	for from := range sent {
 		requests := max(sum(from).Requests, sum(from-window/2).Requests, sum(from-window).Requests)
-		worst = max(worst, float64(sum(from).Repeats)-b.Ratio*float64(requests)-b.Slack)
+		worst = max(worst, float64(sum(from).Retries)-b.Ratio*float64(requests)-b.Slack)
 	}
 	return worst
 }
@@ -94,8 +94,8 @@
 	return sum
 }
 
-// Served is the part that was answered in time.
-func (t Tally) Served() float64 {
+// Goodput is the part that was answered in time.
+func (t Tally) Goodput() float64 {
 	if t.Asked == 0 {
 		return 1
 	}
--- a/internal/load/mesh/visit.go
+++ b/internal/load/mesh/visit.go
@@ -102,7 +102,7 @@
 		return
 	}
 	if v.repeat {
-		f.result.sent(v.request.route.Service, f.now().Sub(f.start)).Repeats++
+		f.result.sent(v.request.route.Service, f.now().Sub(f.start)).Retries++
 	}
 	for _, t := range v.request.counts {
 		t.Runs++
