--- a/internal/app/router/front.go
+++ b/internal/app/router/front.go
@@ -44,7 +44,7 @@
 	shed   shed.Decision
 	quota  quota.Decision
 	trail  attempts
-	// fullness and callRefused are what the offers brought back: see ran.
+	// fullness and callRefused are what the offers brought back: see runResult.
 	fullness    float64
 	callRefused bool
 }
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -128,7 +128,7 @@
 // Decision is whether a request is within its organisation's rate, and the inputs that decided it.
 type Decision struct {
 	Admitted bool
-	// Counted means that the request was counted as let in, so that GiveBack takes it back.
+	// Counted means that the request was counted as let in, so that Refund takes it back.
 	Counted bool
 	// Surge means that far more has come since the last word than was usual: the others should hear of it now.
 	Surge bool
--- a/internal/decide/repeats/repeats.go
+++ b/internal/decide/repeats/repeats.go
@@ -190,7 +190,7 @@
 }
 
 // Grant returns the part of what the fleet may repeat that a daemon gets. Where that is less than all would like to, none gets more
-// than most, which Most returns: daemons that need few, for requests that need one each, are not cut for those that need many.
+// than most, which FairCap returns: daemons that need few, for requests that need one each, are not cut for those that need many.
 func Grant(fleet, own Rates, most float64) float64 {
 	if fleet.Wanted >= fleet.Earned {
 		return min(own.Wanted, most)
--- a/internal/fleet/collect/message.go
+++ b/internal/fleet/collect/message.go
@@ -41,7 +41,7 @@
 type Work struct {
 	// HoldTimes is for how long requests have held slots.
 	HoldTimes []allot.HoldTime `msgpack:"held"`
-	// Delivered is how many requests have reached an instance, and Wasted how many of them have to be sent again.
+	// Delivered is how many requests have reached an instance, and Retryable how many of them have to be sent again.
 	Delivered int `msgpack:"seen"`
 	Retryable int `msgpack:"wasted"`
 }
@@ -55,7 +55,7 @@
 	StoreAge time.Duration `msgpack:"storeAge"`
 	// Grants are what the daemon may send once more to each service, in repeats a second.
 	Grants map[string]float64 `msgpack:"grants"`
-	// Leaving are the hosts whose daemons are about to end, and Silent those whose daemons don't tell of themselves any more.
+	// Leaving are the hosts whose daemons are about to end, and Missing those whose daemons don't tell of themselves any more.
 	Leaving []netip.Addr `msgpack:"leaving"`
 	Missing []netip.Addr `msgpack:"silent"`
 }
