--- a/internal/app/router/beats.go
+++ b/internal/app/router/beats.go
@@ -65,7 +65,7 @@
 	readers = 3
 )
 
-func newBeats(r *Router) *reporter {
+func newReporter(r *Router) *reporter {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &reporter{router: r, now: make(chan struct{}, 1), ctx: ctx, cancel: cancel, began: time.Now(), avoided: map[netip.Addr]time.Time{}}
 	b.collector = collect.New(b, r.settings.Without)
@@ -122,7 +122,7 @@
 	for _, i := range instances {
 		hosts = append(hosts, collect.Host{Address: i.Address.Addr(), Zone: i.Zone})
 	}
-	l := &layout{collect.NewLayout(hosts), view}
+	l := &layout{collect.NewTopology(hosts), view}
 	b.layout.Store(l)
 	return l
 }
--- a/internal/app/router/leave_test.go
+++ b/internal/app/router/leave_test.go
@@ -25,7 +25,7 @@
 func TestSlotsOfADaemonThatLeaves(t *testing.T) {
 	// Guards against a fleet that begins as much as before while an instance's daemon is restarted and nothing is sent to the instance.
 	Convey("An instance whose daemon leaves has no slots", t, func() {
-		o := newOwner(Settings{}, nil)
+		o := newExecutor(Settings{}, nil)
 		defer o.stop()
 		o.observe(routing.Instance{ID: "i", Slots: 20}, true)
 		staying, _ := o.tell(false, time.Now())
--- a/internal/app/router/owner.go
+++ b/internal/app/router/owner.go
@@ -60,7 +60,7 @@
 	goneWait = 500 * time.Millisecond
 )
 
-func newOwner(s Settings, heads Heads) *executor {
+func newExecutor(s Settings, heads Heads) *executor {
 	o := &executor{heads: heads, instance: instance.New(s.Instance), runs: lineage.New(), drainTime: s.DrainTime, without: s.Without, held: map[string]allot.HoldTime{}}
 	o.gate = newGate(unknownSlots)
 	return o
--- a/internal/app/router/router.go
+++ b/internal/app/router/router.go
@@ -65,11 +65,11 @@
 	}
 	r.counts = newCounts(r.metrics.Scope)
 	r.view.Store(catalog.New().View(nil))
-	r.owner = newOwner(s, heads)
+	r.owner = newExecutor(s, heads)
 	r.peers = peer.New(s.Peers, peer.WithMaxFrame(bodyBound+frameSlack), peer.WithLogger(r.peerFault), peer.WithDialTimeout(peerDialTime),
 		peer.WithProbes(peer.Probes{After: probeAfter, Limit: silentAfter}))
 	r.control = newControl(r, source)
-	r.beats = newBeats(r)
+	r.beats = newReporter(r)
 	peer.Handle(r.peers, peer.KindRun, r.takeRun)
 	peer.Handle(r.peers, peer.KindBeat, r.beats.take)
 	peer.Handle(r.peers, peer.KindChanges, r.control.takeFetch)
--- a/internal/fleet/collect/layout.go
+++ b/internal/fleet/collect/layout.go
@@ -48,8 +48,8 @@
 	part uint64
 }
 
-// NewLayout returns the layout of a fleet.
-func NewLayout(hosts []Host) *Topology {
+// NewTopology returns the layout of a fleet.
+func NewTopology(hosts []Host) *Topology {
 	l := &Topology{order: make([]ranked, 0, len(hosts)), groups: map[group][]netip.Addr{}, of: make(map[netip.Addr]group, len(hosts))}
 	zones := map[string]int{}
 	for _, h := range hosts {
--- a/internal/fleet/collect/model_test.go
+++ b/internal/fleet/collect/model_test.go
@@ -75,7 +75,7 @@
 	}
 	f.start = f.now
 	hosts := listed(size, 11)
-	f.layout = NewLayout(hosts)
+	f.layout = NewTopology(hosts)
 	for _, h := range hosts {
 		d := &daemon{address: netip.AddrPortFrom(h.Address, 1)}
 		f.daemons = append(f.daemons, d)
