--- a/internal/app/router/place.go
+++ b/internal/app/router/place.go
@@ -23,22 +23,22 @@
 	r.account(q)
 	course := offers.New(q.route.Attempts, offers.Without(r.settings.Without))
 	last := call.Refuse(call.NoUpstream, noInstanceWait)
-	for course.Open() {
+	for course.CanRetry() {
 		now := time.Now()
 		if ctx.Err() != nil || !now.Before(q.deadline) {
 			return overdue(ctx, last)
 		}
-		if course.Seen() && !r.repeats.Spend(q.service, q.priority, now) {
+		if course.Delivered() && !r.repeats.Spend(q.service, q.priority, now) {
 			return last
 		}
-		from, behind := course.From(r.candidates(q.service))
+		from, behind := course.Candidates(r.candidates(q.service))
 		i, ok := r.chooser.Pick(from, behind, q.deadline.Sub(now), now)
 		if !ok {
 			return last
 		}
-		q.repeat = q.repeat || course.Seen()
+		q.repeat = q.repeat || course.Delivered()
 		done := r.offer(ctx, q, i)
-		course.Done(i.ID, done.ending, done.arrived)
+		course.Record(i.ID, done.ending, done.arrived)
 		last = final(last, done.answer)
 		if !r.goesOn(q, done) {
 			return last
@@ -115,7 +115,7 @@
 // offered is how an offer to one instance ended.
 type offered struct {
 	answer     call.Answer
-	ending     choice.Ending
+	ending     choice.Result
 	arrived    bool
 	callFailed bool
 }
@@ -124,22 +124,22 @@
 func (r *Router) offer(ctx context.Context, q *request, i routing.Instance) offered {
 	begun := time.Now()
 	m := r.message(q, i, begun)
-	var back ran
+	var back runResult
 	var err error
 	switch to := r.peerOf(i.Address.Addr()); {
 	case to.Addr() == r.settings.Peers.Addr():
 		back = r.owner.run(ctx, &m)
 	case m.Idempotent:
-		back, err = peer.CallUnlessSilent[run, ran](ctx, r.peers, to, peer.KindRun, m)
+		back, err = peer.CallUnlessSilent[runRequest, runResult](ctx, r.peers, to, peer.KindRun, m)
 	default:
-		back, err = peer.Call[run, ran](ctx, r.peers, to, peer.KindRun, m)
+		back, err = peer.Call[runRequest, runResult](ctx, r.peers, to, peer.KindRun, m)
 	}
 	now := time.Now()
 	if err != nil {
 		back = unanswered(ctx, err)
 	}
 	e := ending(back, err)
-	r.chooser.Done(i, e, now.Sub(begun), back.Load, now)
+	r.chooser.Record(i, e, now.Sub(begun), back.Load, now)
 	q.trail.add(i, e, back, now.Sub(begun))
 	q.meet(back)
 	return offered{
@@ -151,8 +151,8 @@
 }
 
 // meet takes in how full the services were that the request has met at one instance.
-func (q *request) meet(back ran) {
-	q.fullness = max(q.fullness, back.Fullness)
+func (q *request) meet(back runResult) {
+	q.fullness = max(q.fullness, back.Saturation)
 	q.callRefused = back.CallRefused || back.Reason.Overload()
 }
 
@@ -161,8 +161,8 @@
 	return netip.AddrPortFrom(host, r.settings.Peers.Port())
 }
 
-func (r *Router) message(q *request, i routing.Instance, now time.Time) run {
-	return run{
+func (r *Router) message(q *request, i routing.Instance, now time.Time) runRequest {
+	return runRequest{
 		RequestID: q.id, Instance: i.Incarnation(), Route: q.route.Name, Root: q.root, CallerService: r.settings.Service, Organisation: q.organisation,
 		Method: q.method, Target: q.target, HTTPHost: q.httpHost, Header: q.header, Body: q.body,
 		Remaining: q.deadline.Sub(now), Priority: q.priority, Idempotent: q.route.Repeat == routing.Idempotent,
@@ -171,7 +171,7 @@
 }
 
 // unanswered is what an error of the way to another daemon says of the request: not run only where it did not leave whole.
-func unanswered(ctx context.Context, err error) ran {
+func unanswered(ctx context.Context, err error) runResult {
 	var a call.Answer
 	switch {
 	case errors.Is(err, peer.ErrNotSent) && errors.Is(ctx.Err(), context.Canceled):
@@ -185,11 +185,11 @@
 	default:
 		a = call.Lose(call.AnswerLost)
 	}
-	return ran{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Arrived: a.Outcome != call.NotRun}
+	return runResult{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Arrived: a.Outcome != call.NotRun}
 }
 
 // ending tells the chooser what the end of an offer says of the instance.
-func ending(back ran, err error) choice.Ending {
+func ending(back runResult, err error) choice.Result {
 	switch {
 	case err != nil && back.Outcome == call.NotRun && back.Reason != call.Cancelled:
 		return choice.Unreachable
@@ -205,7 +205,7 @@
 	case call.NoUpstream, call.Draining:
 		return choice.Unreachable
 	case call.UpstreamShed:
-		return choice.TurnedAway
+		return choice.Declined
 	case call.Overloaded, call.DeadlineTooNear:
 		return choice.Refused
 	case call.AnswerLost, call.TimedOut:
--- a/internal/load/mesh/fleet.go
+++ b/internal/load/mesh/fleet.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, h := range f.hosts {
-		f.clock.After(time.Duration(f.random.Float64()*float64(collect.Every)), h.beat)
+		f.clock.After(time.Duration(f.random.Float64()*float64(collect.Interval)), h.beat)
 	}
 	f.clock.Run(f.start.Add(length))
 	return f.result
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, h := range f.hosts {
-		h.repeats.Share(len(f.hosts))
+		h.repeats.SetDaemons(len(f.hosts))
 	}
 	return f
 }
@@ -96,7 +96,7 @@
 	h := &host{
 		fleet: f, instance: instance, speed: speed, ordinal: n, of: len(s.Speeds),
 		shedder: shed.New(shed.WithRand(f.random.Float64), shed.Without(f.scene.Without)), chooser: choice.New(zone, choice.WithRand(f.random.Float64), choice.Without(f.scene.Without)),
-		repeats: repeats.New(f.scene.Repeats), gate: newGate(s.Slots), runs: lineage.New(lineage.WithRand(f.random.Float64)), held: map[string]allot.Held{},
+		repeats: repeats.New(f.scene.Repeats), gate: newGate(s.Slots), runs: lineage.New(lineage.WithRand(f.random.Float64)), held: map[string]allot.HoldTime{},
 	}
 	f.hosts = append(f.hosts, h)
 	f.byID[instance.ID] = h
