--- a/internal/app/daemon/answers.go
+++ b/internal/app/daemon/answers.go
@@ -16,36 +16,36 @@
 	reason  call.Reason
 }
 
-// answerCount is the metrics of one kind of answer.
-type answerCount struct {
+// kindMetrics is the metrics of one kind of answer.
+type kindMetrics struct {
 	answers tally.Counter
 	seconds tally.Histogram
 }
 
-// answerCounts keeps the metrics of every kind of answer that came up: making
+// answerMetrics keeps the metrics of every kind of answer that came up: making
 // a tagged scope costs 2 µs and five allocations, each time anew.
-type answerCounts struct {
+type answerMetrics struct {
 	scope telemetry.Scope
 	kinds sync.Map // answerKind to *answerCount
 }
 
-func newAnswerCounts(scope telemetry.Scope) *answerCounts { return &answerCounts{scope: scope} }
+func newAnswerMetrics(scope telemetry.Scope) *answerMetrics { return &answerMetrics{scope: scope} }
 
 // add counts one answer that took so long.
-func (a *answerCounts) add(answer call.Answer, took time.Duration) {
+func (a *answerMetrics) add(answer call.Answer, duration time.Duration) {
 	count := a.of(answerKind{answer.Outcome, answer.Reason})
 	count.answers.Inc(1)
-	count.seconds.RecordDuration(took)
+	count.seconds.RecordDuration(duration)
 }
 
-func (a *answerCounts) of(kind answerKind) *answerCount {
-	if kept, ok := a.kinds.Load(kind); ok {
-		return kept.(*answerCount)
+func (a *answerMetrics) of(kind answerKind) *kindMetrics {
+	if known, ok := a.kinds.Load(kind); ok {
+		return known.(*kindMetrics)
 	}
 	scope := a.scope.Tagged(map[string]string{"outcome": kind.outcome.String(), "reason": kind.reason.String()})
-	kept, _ := a.kinds.LoadOrStore(kind, &answerCount{
+	stored, _ := a.kinds.LoadOrStore(kind, &kindMetrics{
 		answers: scope.Counter(telemetry.Answers),
 		seconds: scope.Latencies(telemetry.AnswerSeconds),
 	})
-	return kept.(*answerCount)
+	return stored.(*kindMetrics)
 }
--- a/internal/app/daemon/chain_test.go
+++ b/internal/app/daemon/chain_test.go
@@ -14,9 +14,9 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// chainDaemon has lists with one operation of low priority, and nothing that needs a socket.
-func chainDaemon() *Daemon {
-	d := &Daemon{owner: &owner{chains: newChains()}}
+// subCallDaemon has lists with one operation of low priority, and nothing that needs a socket.
+func subCallDaemon() *Daemon {
+	d := &Daemon{executor: &executor{runs: newActiveRuns()}}
 	plans := &lists.Plans{Organisations: []lists.Organisation{{Organisation: "dealer", Plan: "full", Rate: 1, Burst: 1}}}
 	uses := &lists.Uses{
 		Operations: []lists.Operation{{Operation: "repairs.notes", Service: "repairs", Method: "POST", Path: "/notes", Priority: "background"}},
@@ -29,12 +29,12 @@
 // A lookup calls a service whose operation is of low priority in the list. If
 // the call took that priority, or a deadline of its own, it would be shed or
 // outlive the request it belongs to, and the work above it would be for nothing.
-func TestCallsOfAnUpstreamCarryTheRequest(t *testing.T) {
+func TestSubCallsInheritFromTheRequest(t *testing.T) {
 	Convey("Priority, deadline, organisation, request id and budget come from the request that is running", t, func() {
-		d, now := chainDaemon(), time.Now()
+		d, now := subCallDaemon(), time.Now()
 		running := &call.Request{ID: "r1", Organisation: "dealer", Priority: call.Interactive, Deadline: now.Add(time.Second), Depth: 3}
 		account := budget.New(5)
-		token, _ := d.owner.chains.open(running, account)
+		token, _ := d.executor.runs.add(running, account)
 		r, _ := http.NewRequest(http.MethodPost, "http://daemon/repairs/notes", nil)
 		r.Header.Set(upstream.HeaderToken, token)
 		r.Header.Set(upstream.HeaderTimeout, "60000")
@@ -48,9 +48,9 @@
 		So(a.account, ShouldPointTo, account)
 	})
 	Convey("A token ends with its request", t, func() {
-		d := chainDaemon()
-		token, _ := d.owner.chains.open(&call.Request{Organisation: "dealer"}, budget.New(1))
-		d.owner.chains.shut(token)
+		d := subCallDaemon()
+		token, _ := d.executor.runs.add(&call.Request{Organisation: "dealer"}, budget.New(1))
+		d.executor.runs.remove(token)
 		r, _ := http.NewRequest(http.MethodPost, "http://daemon/repairs/notes", nil)
 		r.Header.Set(upstream.HeaderToken, token)
 		_, refusal, ok := d.admit(r, nil, time.Now())
@@ -61,22 +61,22 @@
 
 // The deepest service becomes slow. Each service above it is slow as well; if
 // that counted as its own latency, all of them would lower their limits.
-func TestTimeOfNestedCallsIsTakenOut(t *testing.T) {
+func TestSubCallTimeIsExcluded(t *testing.T) {
 	Convey("Calls side by side count once, and one that is still out counts up to now", t, func() {
 		var waited, later time.Duration
 		var pressure float64
 		synctest.Test(t, func(*testing.T) {
-			o := &origin{}
+			o := &parentRun{}
 			time.Sleep(time.Second)
-			o.enter(time.Now())
+			o.callStarted(time.Now())
 			time.Sleep(time.Second)
-			o.enter(time.Now())
+			o.callStarted(time.Now())
 			time.Sleep(time.Second)
-			o.exit(time.Now(), 1)
-			o.exit(time.Now(), 0)
+			o.callEnded(time.Now(), 1)
+			o.callEnded(time.Now(), 0)
 			time.Sleep(time.Second)
 			waited, pressure = o.waited(time.Now())
-			o.enter(time.Now())
+			o.callStarted(time.Now())
 			time.Sleep(time.Second)
 			later, _ = o.waited(time.Now())
 		})
--- a/internal/app/daemon/chains.go
+++ b/internal/app/daemon/chains.go
@@ -9,35 +9,35 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// origin is the running request that an upstream's own calls belong to.
-type origin struct {
+// parentRun is the running request that an upstream's own calls belong to.
+type parentRun struct {
 	request *call.Request
 	account *budget.Account
 
-	mu       sync.Mutex
-	calls    int
-	since    time.Time
-	nested   time.Duration
-	pressure float64
+	mu           sync.Mutex
+	openCalls    int
+	waitingSince time.Time
+	waitedBefore time.Duration
+	pressure     float64
 }
 
-// enter notes that the upstream waits for one of its own calls.
-func (o *origin) enter(now time.Time) {
+// callStarted notes that the upstream waits for one of its own calls.
+func (o *parentRun) callStarted(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.calls == 0 {
-		o.since = now
+	if o.openCalls == 0 {
+		o.waitingSince = now
 	}
-	o.calls++
+	o.openCalls++
 }
 
-// exit notes the end of one of the upstream's own calls and the pressure that came back with it.
-func (o *origin) exit(now time.Time, pressure float64) {
+// callEnded notes the end of one of the upstream's own calls and the pressure that came back with it.
+func (o *parentRun) callEnded(now time.Time, pressure float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.calls--
-	if o.calls == 0 {
-		o.nested += now.Sub(o.since)
+	o.openCalls--
+	if o.openCalls == 0 {
+		o.waitedBefore += now.Sub(o.waitingSince)
 	}
 	o.pressure = max(o.pressure, pressure)
 }
@@ -47,43 +47,43 @@
 // A slow deep service makes each service above it slow as well. Without this
 // time taken out, every hop would lower its own limit for a fault that isn't
 // its own, and the whole chain would run at a fraction of what it can.
-func (o *origin) waited(now time.Time) (time.Duration, float64) {
+func (o *parentRun) waited(now time.Time) (time.Duration, float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.calls > 0 {
-		return o.nested + now.Sub(o.since), o.pressure
+	if o.openCalls > 0 {
+		return o.waitedBefore + now.Sub(o.waitingSince), o.pressure
 	}
-	return o.nested, o.pressure
+	return o.waitedBefore, o.pressure
 }
 
-// chains maps the tokens given to the upstream to the requests it is running.
+// activeRuns maps the tokens given to the upstream to the requests it is running.
 //
 // An upstream could otherwise name any organisation in its calls. The token
 // says nothing by itself, only this daemon resolves it, and it ends with the
 // request.
-type chains struct {
+type activeRuns struct {
 	mu      sync.Mutex
-	running map[string]*origin
+	running map[string]*parentRun
 }
 
-func newChains() *chains { return &chains{running: map[string]*origin{}} }
+func newActiveRuns() *activeRuns { return &activeRuns{running: map[string]*parentRun{}} }
 
-func (c *chains) open(r *call.Request, account *budget.Account) (string, *origin) {
+func (c *activeRuns) add(r *call.Request, account *budget.Account) (string, *parentRun) {
 	token := rand.Text()
-	o := &origin{request: r, account: account}
+	o := &parentRun{request: r, account: account}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running[token] = o
 	return token, o
 }
 
-func (c *chains) shut(token string) {
+func (c *activeRuns) remove(token string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.running, token)
 }
 
-func (c *chains) find(token string) (*origin, bool) {
+func (c *activeRuns) find(token string) (*parentRun, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o, ok := c.running[token]
--- a/internal/app/daemon/control.go
+++ b/internal/app/daemon/control.go
@@ -28,20 +28,20 @@
 	incarnation uint64
 	leaving     bool
 	// exchanging holds the peers with a digest in flight; a slow one gets no second.
-	exchanging map[netip.AddrPort]bool
-	reader     context.CancelFunc
-	reading    bool
-	releasing  bool
-	large      bool
-	released   time.Time
-	handed     time.Time
-	viewed     time.Time
-
-	asks   chan func()
-	doubts chan doubt
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	exchanging       map[netip.AddrPort]bool
+	stopReading      context.CancelFunc
+	reading          bool
+	releasing        bool
+	largeValueSeen   bool
+	lastRelease      time.Time
+	lastLargeValue   time.Time
+	membersPublished time.Time
+
+	tasks    chan func()
+	failures chan hostFailure
+	ctx      context.Context
+	cancel   context.CancelFunc
+	done     sync.WaitGroup
 }
 
 func newControl(d *Daemon, p *platform.Client) *control {
@@ -60,18 +60,18 @@
 		members:     member.New(),
 		incarnation: uint64(now.UnixNano()),
 		exchanging:  map[netip.AddrPort]bool{},
-		asks:        make(chan func()),
-		doubts:      make(chan doubt, doubtsWaiting),
+		tasks:       make(chan func()),
+		failures:    make(chan hostFailure, maxPendingFailures),
 		ctx:         ctx,
 		cancel:      cancel,
 	}
-	c.show(now)
+	c.publishState(now)
 	return c
 }
 
 func (c *control) start() {
 	c.done.Go(c.run)
-	c.done.Go(func() { c.daemon.repeats.confirm(c.ctx) })
+	c.done.Go(func() { c.daemon.dedup.keepConfirmed(c.ctx) })
 }
 
 func (c *control) stop() {
@@ -79,32 +79,32 @@
 	c.done.Wait()
 }
 
-// lookEvery is how often the control thread looks at the clock. It is a
+// tickInterval is how often the control thread looks at the clock. It is a
 // twentieth of the pause that makes a daemon's lists count as old.
-const lookEvery = 100 * time.Millisecond
+const tickInterval = 100 * time.Millisecond
 
 func (c *control) run() {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
-		case ask := <-c.asks:
-			ask()
-		case doubt := <-c.doubts:
-			c.doubt(doubt)
+		case task := <-c.tasks:
+			task()
+		case failure := <-c.failures:
+			c.handleFailure(failure)
 		case <-ticker.C:
 			c.tick(time.Now())
 		}
 	}
 }
 
-// ask runs f on the control thread and waits for it; false means that the thread has ended.
-func (c *control) ask(f func()) bool {
+// do runs f on the control thread and waits for it; false means that the thread has ended.
+func (c *control) do(f func()) bool {
 	done := make(chan struct{})
 	select {
-	case c.asks <- func() { f(); close(done) }:
+	case c.tasks <- func() { f(); close(done) }:
 		<-done
 		return true
 	case <-c.ctx.Done():
@@ -112,9 +112,9 @@
 	}
 }
 
-// offer puts a value in force if it is newer and sound, and tells peers of it at once.
-func (c *control) offer(v lists.Value) {
-	c.release(len(v.Raw))
+// apply puts a value in force if it is newer and sound, and tells peers of it at once.
+func (c *control) apply(v lists.Value) {
+	c.noteLargeValue(len(v.Raw))
 	verdict, faults := c.set.Offer(v)
 	entry := c.daemon.log.WithFields(logrus.Fields{"list": v.Kind.String(), "version": v.Version, "verdict": verdict.String()})
 	now := time.Now()
@@ -123,19 +123,19 @@
 		entry.Info("list")
 		c.archive.Store(v)
 		if v.Kind == lists.KindHosts {
-			c.takeHosts()
+			c.applyHosts()
 		}
 		c.publish()
-		c.carryOut(c.core.Accepted(v.Kind, v.Version, now, c.unusable), now)
+		c.perform(c.core.Accepted(v.Kind, v.Version, now, c.unusable), now)
 	case lists.Rejected:
 		entry.WithField("faults", faults).Error("list")
 		c.core.Rejected(v.Kind, v.Version, now)
 	case lists.Old:
 	}
-	c.show(now)
+	c.publishState(now)
 }
 
-func (c *control) takeHosts() {
+func (c *control) applyHosts() {
 	hosts := c.set.View().Hosts()
 	c.core.SetHosts(hosts)
 	c.members.SetHosts(hosts)
@@ -143,8 +143,8 @@
 
 func (c *control) publish() {
 	view := c.set.View()
-	c.daemon.rates.configure(view)
-	c.daemon.repeats.observe(view, time.Now())
+	c.daemon.rateLimiter.configure(view)
+	c.daemon.dedup.observe(view, time.Now())
 	c.daemon.view.Store(view)
 }
 
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -27,58 +27,58 @@
 	settings settings.Settings
 	log      *logrus.Logger
 	metrics  *telemetry.Metrics
-	answers  *answerCounts
+	answers  *answerMetrics
 
-	view     atomic.Pointer[lists.View]
-	standing atomic.Pointer[standing]
-	members  atomic.Pointer[member.View]
-	hosts    usableHosts
-	leaving  atomic.Bool
-	serving  atomic.Bool
-	inFlight *inFlight
+	view         atomic.Pointer[lists.View]
+	servingState atomic.Pointer[servingState]
+	members      atomic.Pointer[member.View]
+	hosts        usableHosts
+	leaving      atomic.Bool
+	serving      atomic.Bool
+	inFlight     *inFlight
 
-	control  *control
-	rates    *rates
-	placer   *placing.Placer
-	needs    *budget.Needs
-	doors    *pressure.Throttles
-	owner    *owner
-	peers    *peer.Node
-	repeats  *repeats
-	callers  *httpd.Server
-	operator *httpd.Server
+	control        *control
+	rateLimiter    *rateLimiter
+	placer         *placing.Placer
+	needs          *budget.Needs
+	throttles      *pressure.Throttles
+	executor       *executor
+	peers          *peer.Node
+	dedup          *deduplicator
+	callerServer   *httpd.Server
+	operatorServer *httpd.Server
 }
 
 // New returns a daemon with checked settings; it does nothing until Run.
 func New(s settings.Settings, log *logrus.Logger) *Daemon {
 	d := &Daemon{
-		settings: s,
-		inFlight: newInFlight(),
-		log:      log,
-		metrics:  telemetry.NewMetrics(s.Host, s.Zone),
-		placer:   placing.New(s.Zone, placing.WithRegion(s.Region), placing.WithKind(s.Placing)),
-		needs:    budget.NewNeeds(),
-		doors:    pressure.New(),
+		settings:  s,
+		inFlight:  newInFlight(),
+		log:       log,
+		metrics:   telemetry.NewMetrics(s.Host, s.Zone),
+		placer:    placing.New(s.Zone, placing.WithRegion(s.Region), placing.WithKind(s.Placing)),
+		needs:     budget.NewNeeds(),
+		throttles: pressure.New(),
 	}
-	d.answers = newAnswerCounts(d.metrics.Scope)
+	d.answers = newAnswerMetrics(d.metrics.Scope)
 	d.view.Store(lists.NewSet().View())
-	d.owner = newOwner(s, upstream.New(s.Upstream, upstream.WithMaxAnswer(int64(s.BodyBound)), upstream.WithOnceIdle(s.OnceIdle)))
-	d.rates = newRates(d)
+	d.executor = newExecutor(s, upstream.New(s.Upstream, upstream.WithMaxAnswer(int64(s.BodyBound)), upstream.WithOnceIdle(s.OnceIdle)))
+	d.rateLimiter = newRateLimiter(d)
 	d.control = newControl(d, platform.New(s.Platform, s.Peers.Addr()))
-	d.peers = peer.New(s.Peers, peer.WithMaxFrame(s.BodyBound+frameSlack), peer.WithLogger(d.peerFault), peer.WithSecrets(s.Secrets...))
-	peer.Handle(d.peers, peer.KindCall, d.takeHandoff)
-	d.rates.handle(d.peers)
-	peer.Handle(d.peers, peer.KindDigest, d.takeDigest)
-	peer.Handle(d.peers, peer.KindFetch, d.takeFetch)
-	d.repeats = newRepeats(d)
-	d.callers = httpd.New(s.Callers, http.HandlerFunc(d.serveCaller), httpd.WithBodyBound(s.BodyBound), httpd.WithMaxConns(s.MaxConns),
-		httpd.WithHeldBytes(s.HeldBytes), httpd.WithHead(s.HeaderBound, s.HeaderTime), httpd.WithRefuser(refuseFault), httpd.WithClosing(d.leaving.Load))
-	d.operator = httpd.New(s.Operators, d.operatorRoutes())
+	d.peers = peer.New(s.Peers, peer.WithMaxFrame(s.BodyBound+maxFrameHead), peer.WithLogger(d.peerFault), peer.WithSecrets(s.Secrets...))
+	peer.Handle(d.peers, peer.KindCall, d.handleRunRequest)
+	d.rateLimiter.registerHandlers(d.peers)
+	peer.Handle(d.peers, peer.KindDigest, d.handleDigest)
+	peer.Handle(d.peers, peer.KindFetch, d.handleFetch)
+	d.dedup = newDeduplicator(d)
+	d.callerServer = httpd.New(s.Callers, http.HandlerFunc(d.serveCaller), httpd.WithBodyBound(s.BodyBound), httpd.WithMaxConns(s.MaxConns),
+		httpd.WithHeldBytes(s.HeldBytes), httpd.WithHead(s.HeaderBound, s.HeaderTime), httpd.WithRefuser(faultResponse), httpd.WithClosing(d.leaving.Load))
+	d.operatorServer = httpd.New(s.Operators, d.operatorRoutes())
 	return d
 }
 
-// frameSlack is room for a request's head beside its body.
-const frameSlack = 1 << 20
+// maxFrameHead is room for a request's head beside its body.
+const maxFrameHead = 1 << 20
 
 // Run serves until ctx ends, then leaves without cutting a request; the error tells which listener failed to start.
 func (d *Daemon) Run(ctx context.Context) error {
@@ -94,14 +94,14 @@
 }
 
 func (d *Daemon) start(ctx context.Context) error {
-	if err := startAll(d.peers.Start, d.operator.Start); err != nil {
+	if err := startAll(d.peers.Start, d.operatorServer.Start); err != nil {
 		return err
 	}
 	d.control.start()
-	d.rates.start()
-	d.control.done.Go(d.observe)
+	d.rateLimiter.start()
+	d.control.done.Go(d.reportMetrics)
 	d.awaitLists(ctx)
-	if err := startAll(d.callers.Start); err != nil {
+	if err := startAll(d.callerServer.Start); err != nil {
 		return err
 	}
 	d.serving.Store(true)
@@ -118,16 +118,16 @@
 }
 
 const (
-	listsWait = 3 * time.Second
-	listsLook = 10 * time.Millisecond
+	listsTimeout      = 3 * time.Second
+	listsPollInterval = 10 * time.Millisecond
 )
 
 // awaitLists keeps the callers' port closed until the lists and the rates are there, so that a
 // restart refuses nobody: a caller that can't connect goes to another host. When
 // they don't come, callers are better told so than left without an answer.
 func (d *Daemon) awaitLists(ctx context.Context) {
-	limit := time.Now().Add(listsWait)
-	for !(d.takes(time.Now()) && d.rates.ready.Load()) && ctx.Err() == nil && time.Now().Before(limit) {
-		time.Sleep(listsLook)
+	deadline := time.Now().Add(listsTimeout)
+	for !(d.acceptsCallers(time.Now()) && d.rateLimiter.ready.Load()) && ctx.Err() == nil && time.Now().Before(deadline) {
+		time.Sleep(listsPollInterval)
 	}
 }
--- a/internal/app/daemon/dispatch.go
+++ b/internal/app/daemon/dispatch.go
@@ -19,58 +19,58 @@
 // dispatch places the request, and tells those above it how it went: the door
 // that let it in, or the request that the upstream made this call for.
 func (d *Daemon) dispatch(ctx context.Context, a admitted) call.Answer {
-	if a.origin != nil {
-		a.origin.enter(time.Now())
+	if a.parent != nil {
+		a.parent.callStarted(time.Now())
 	}
 	ctx, cancel := context.WithDeadline(ctx, a.request.Deadline)
 	defer cancel()
-	answer := d.try(ctx, a)
+	answer := d.sendWithRetries(ctx, a)
 	if answer.Reason.Overload() || answer.Reason == call.AnswerLost && errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		answer.Load.Pressure = 1
 	}
 	switch {
-	case a.origin != nil:
-		a.origin.exit(time.Now(), answer.Load.Pressure)
+	case a.parent != nil:
+		a.parent.callEnded(time.Now(), answer.Load.Pressure)
 	case answer.Reason != call.Cancelled:
-		d.doors.Report(time.Now(), a.request.Organisation, a.request.Operation, answer.Load.Pressure, answer.RetryAfter)
+		d.throttles.Report(time.Now(), a.request.Organisation, a.request.Operation, answer.Load.Pressure, answer.RetryAfter)
 	}
 	return answer
 }
 
-// try repeats the request on another host only after a true notRun, or after a
+// sendWithRetries repeats the request on another host only after a true notRun, or after a
 // lost answer where the operation is idempotent.
-func (d *Daemon) try(ctx context.Context, a admitted) call.Answer {
+func (d *Daemon) sendWithRetries(ctx context.Context, a admitted) call.Answer {
 	tried := make([]string, 0, attemptsPerHop)
 	answer := call.Refuse(call.NoUpstream, time.Second)
-	ran := false
+	mayHaveRun := false
 	for len(tried) < attemptsPerHop {
-		if len(tried) > 0 && !a.inForce() {
+		if len(tried) > 0 && !a.hasValidKey() {
 			answer = call.Refuse(call.UnknownKey, 0)
 			break
 		}
 		next, host, ok := d.attempt(ctx, a, tried)
 		if !ok {
 			if len(tried) == 0 {
-				d.tellPlacing(&a.request, lists.Host{}, 0, answer, time.Now())
+				d.logPlacing(&a.request, lists.Host{}, 0, answer, time.Now())
 			}
 			break
 		}
 		tried = append(tried, host)
 		answer = next
-		ran = ran || next.Outcome == call.Unknown
-		if !repeatable(a.request, next) || ctx.Err() != nil {
+		mayHaveRun = mayHaveRun || next.Outcome == call.Unknown
+		if !retryable(a.request, next) || ctx.Err() != nil {
 			break
 		}
 	}
 	// A refusal after a lost answer must not claim that nothing ran.
-	if ran && answer.Outcome == call.NotRun {
+	if mayHaveRun && answer.Outcome == call.NotRun {
 		answer = call.Lose(call.AnswerLost)
 	}
 	answer.BudgetLeft = a.account.Left()
 	return answer
 }
 
-func repeatable(r call.Request, a call.Answer) bool {
+func retryable(r call.Request, a call.Answer) bool {
 	switch a.Outcome {
 	case call.NotRun:
 		return a.Reason.ComeBack()
@@ -83,51 +83,51 @@
 
 // attempt sends the request to one more host and returns its answer and name; false if there is no other host.
 func (d *Daemon) attempt(ctx context.Context, a admitted, tried []string) (call.Answer, string, bool) {
-	r, begun := a.request, time.Now()
-	if r.Budget = d.draw(ctx, a); r.Budget == 0 {
-		refusal := unfunded(ctx)
-		d.tellPlacing(&r, lists.Host{}, len(tried), refusal, begun)
+	r, started := a.request, time.Now()
+	if r.Budget = d.drawBudget(ctx, a); r.Budget == 0 {
+		refusal := noBudgetRefusal(ctx)
+		d.logPlacing(&r, lists.Host{}, len(tried), refusal, started)
 		return refusal, "", true
 	}
-	begun = time.Now()
-	place, ok := d.placer.Pick(begun, r.Service, d.candidates(r.Service), tried)
+	started = time.Now()
+	choice, ok := d.placer.Pick(started, r.Service, d.candidates(r.Service), tried)
 	if !ok {
 		a.account.Settle(r.Budget, r.Budget)
 		return call.Answer{}, "", false
 	}
-	host := place.Host
-	answer := d.send(ctx, host, &r, a.still)
-	d.judge(host.Host, answer)
+	host := choice.Host
+	answer := d.send(ctx, host, &r, a.keyValid)
+	d.checkAnswer(host.Host, answer)
 	now := time.Now()
-	d.placer.Settle(now, place, r.Operation, ending(answer), answer.Load)
+	d.placer.Settle(now, choice, r.Operation, placingResult(answer), answer.Load)
 	a.account.Settle(r.Budget, answer.BudgetLeft)
 	if answer.Outcome == call.Whole {
-		d.needs.Learn(r.Operation, r.Budget, r.Budget-answer.BudgetLeft, answer.Status < statusFault)
+		d.needs.Learn(r.Operation, r.Budget, r.Budget-answer.BudgetLeft, answer.Status < minFaultStatus)
 	}
-	d.tellPlacing(&r, host, len(tried), answer, begun)
+	d.logPlacing(&r, host, len(tried), answer, started)
 	return answer, host.Host, true
 }
 
-// tellPlacing logs one placing decision and what became of it; the host is empty where none was taken.
-func (d *Daemon) tellPlacing(r *call.Request, host lists.Host, tried int, answer call.Answer, begun time.Time) {
+// logPlacing logs one placing decision and what became of it; the host is empty where none was taken.
+func (d *Daemon) logPlacing(r *call.Request, host lists.Host, tried int, answer call.Answer, started time.Time) {
 	d.log.WithFields(logrus.Fields{
 		"decision": "place", "requestId": r.ID, "organisation": r.Organisation, "operation": r.Operation,
 		"service": r.Service, "host": host.Host, "zone": host.Zone, "attempt": tried + 1, "depth": r.Depth, "budget": r.Budget,
-		"outcome": answer.Outcome.String(), "reason": answer.Reason.String(), "durationUs": time.Since(begun).Microseconds(),
+		"outcome": answer.Outcome.String(), "reason": answer.Reason.String(), "durationUs": time.Since(started).Microseconds(),
 	}).Info("route")
 }
 
-// unfunded is the answer for an attempt without budget, which may have waited for some until its time was up.
-func unfunded(ctx context.Context) call.Answer {
+// noBudgetRefusal is the answer for an attempt without budget, which may have waited for some until its time was up.
+func noBudgetRefusal(ctx context.Context) call.Answer {
 	if ctx.Err() != nil {
 		return call.Refuse(call.DeadlineTooNear, 0)
 	}
 	return call.Refuse(call.BudgetSpent, 0)
 }
 
-// draw takes what the attempt may spend from the request's account, waiting for
+// drawBudget takes what the attempt may spend from the request's account, waiting for
 // calls made beside it if they hold what is missing; 0 means that there is nothing.
-func (d *Daemon) draw(ctx context.Context, a admitted) int {
+func (d *Daemon) drawBudget(ctx context.Context, a admitted) int {
 	for {
 		runs, wait := a.account.Draw(d.needs.Expect(a.request.Operation, a.request.Depth))
 		if wait == nil {
@@ -141,13 +141,13 @@
 	}
 }
 
-// statusFault is the lowest HTTP status code of a fault of the upstream.
-const statusFault = 500
+// minFaultStatus is the lowest HTTP status code of a fault of the upstream.
+const minFaultStatus = 500
 
-// ending is what an answer tells of the host that it came from.
-func ending(a call.Answer) placing.Ending {
+// placingResult is what an answer tells of the host that it came from.
+func placingResult(a call.Answer) placing.Ending {
 	switch {
-	case a.Outcome == call.Whole && a.Status < statusFault:
+	case a.Outcome == call.Whole && a.Status < minFaultStatus:
 		return placing.Served
 	case a.Outcome == call.Whole && a.Load.Pressure > 0:
 		return placing.Silent
@@ -163,19 +163,19 @@
 }
 
 // send runs the request on this host's upstream or hands it on to the daemon beside the chosen one.
-func (d *Daemon) send(ctx context.Context, host lists.Host, r *call.Request, still func() bool) call.Answer {
+func (d *Daemon) send(ctx context.Context, host lists.Host, r *call.Request, keyValid func() bool) call.Answer {
 	if host.Host == d.settings.Host {
-		return d.owner.run(ctx, r, still)
+		return d.executor.run(ctx, r, keyValid)
 	}
-	back, err := peer.Call[handoff, handback](ctx, d.peers, host.Peer, peer.KindCall, newHandoff(r, time.Now()))
+	reply, err := peer.Call[runRequest, runResult](ctx, d.peers, host.Peer, peer.KindCall, newRunRequest(r, time.Now()))
 	if err == nil {
-		return back.answer()
+		return reply.answer()
 	}
-	return d.unanswered(r, err)
+	return d.forwardingFailure(r, err)
 }
 
-// unanswered tells what a failed handoff says of the request.
-func (d *Daemon) unanswered(r *call.Request, err error) call.Answer {
+// forwardingFailure tells what a failed handoff says of the request.
+func (d *Daemon) forwardingFailure(r *call.Request, err error) call.Answer {
 	switch {
 	case errors.Is(err, peer.ErrNotSent):
 		refusal := call.Refuse(call.NoUpstream, time.Second)
--- a/internal/app/daemon/dispatch_test.go
+++ b/internal/app/daemon/dispatch_test.go
@@ -18,7 +18,7 @@
 
 // A service has no host left, or a request no run, and its callers are refused. Without a line
 // for it the log shows requests that come in and nothing that became of them.
-func TestPlacingNowhereIsLogged(t *testing.T) {
+func TestRequestWithoutHostIsLogged(t *testing.T) {
 	cases := []struct {
 		name    string
 		service string
@@ -31,7 +31,7 @@
 	for _, c := range cases {
 		Convey(c.name, t, func() {
 			var out bytes.Buffer
-			d := loneDaemon(loopback.Address())
+			d := singleHostDaemon(loopback.Address())
 			d.log = telemetry.NewLog(&out, d.settings.LogLevel)
 			a := admitted{account: budget.New(c.runs), request: call.Request{
 				ID: "r1", Organisation: "dealer", Operation: "lookup.find", Service: c.service, Method: http.MethodPost, Path: "/",
--- a/internal/app/daemon/door.go
+++ b/internal/app/daemon/door.go
@@ -25,10 +25,10 @@
 type admitted struct {
 	request call.Request
 	account *budget.Account
-	// origin is the request that an upstream's call belongs to; nil for a caller's.
-	origin *origin
-	// still reports, after a wait, whether the caller's key is still in force; nil means that it need not be asked.
-	still func() bool
+	// parent is the request that an upstream's call belongs to; nil for a caller's.
+	parent *parentRun
+	// keyValid reports, after a wait, whether the caller's key is keyValid in force; nil means that it need not be asked.
+	keyValid func() bool
 	// token is what a caller's request has spent of its organisation's rate.
 	token rate.Token
 }
@@ -39,13 +39,13 @@
 // when the door, or later a queue, refuses.
 func (d *Daemon) admit(r *http.Request, body []byte, now time.Time) (admitted, call.Answer, bool) {
 	if token := r.Header.Get(upstream.HeaderToken); token != "" {
-		return d.admitChained(r, token, body)
+		return d.admitSubCall(r, token, body)
 	}
 	return d.admitCaller(r, body, now)
 }
 
 func (d *Daemon) admitCaller(r *http.Request, body []byte, now time.Time) (admitted, call.Answer, bool) {
-	if !d.awaitTakes(r, now) {
+	if !d.waitToAccept(r, now) {
 		return refuse(call.NotReady, time.Second)
 	}
 	// Loaded after the question whether the lists are current: a thread that was
@@ -69,49 +69,49 @@
 		return refuse(call.BadRequest, 0)
 	}
 	a.request.Deadline = now.Add(timeout)
-	a.request.ID = newID()
-	a.still = d.keyStill(view, key, organisation)
+	a.request.ID = newRequestID()
+	a.keyValid = d.keyCheck(view, key, organisation)
 	a.account = budget.New(a.request.Budget)
-	token, wait, ok := d.rates.Spend(r.Context(), organisation)
+	token, wait, ok := d.rateLimiter.Spend(r.Context(), organisation)
 	if !ok {
-		return refuse(call.OverRate, d.rates.borrower.ComeBack(organisation, wait, time.Now()))
+		return refuse(call.OverRate, d.rateLimiter.borrower.ComeBack(organisation, wait, time.Now()))
 	}
 	a.token = token
-	if back, ok := d.doors.Admit(now, organisation, a.request.Operation); !ok {
-		d.rates.giveBack(&a)
-		return refuse(call.Overloaded, back)
+	if retryAfter, ok := d.throttles.Admit(now, organisation, a.request.Operation); !ok {
+		d.rateLimiter.returnToken(&a)
+		return refuse(call.Overloaded, retryAfter)
 	}
 	return a, call.Answer{}, true
 }
 
-// admitChained admits a call that the local upstream makes on behalf of a
+// admitSubCall admits a call that the local upstream makes on behalf of a
 // request it is running. Organisation, deadline, priority and budget come from
 // what this daemon remembers, never from what the upstream says; the rate was
 // spent when the request came in.
-func (d *Daemon) admitChained(r *http.Request, token string, body []byte) (admitted, call.Answer, bool) {
-	origin, ok := d.owner.chains.find(token)
+func (d *Daemon) admitSubCall(r *http.Request, token string, body []byte) (admitted, call.Answer, bool) {
+	parent, ok := d.executor.runs.find(token)
 	if !ok {
 		return refuse(call.UnknownKey, 0)
 	}
-	a, refusal, ok := d.prepare(d.view.Load(), origin.request.Organisation, r, body)
+	a, refusal, ok := d.prepare(d.view.Load(), parent.request.Organisation, r, body)
 	if !ok {
 		return a, refusal, false
 	}
-	a.request.ID = origin.request.ID
-	a.request.Deadline = origin.request.Deadline
-	a.request.Depth = origin.request.Depth + 1
-	a.request.Priority = origin.request.Priority
-	a.account = origin.account
-	a.origin = origin
+	a.request.ID = parent.request.ID
+	a.request.Deadline = parent.request.Deadline
+	a.request.Depth = parent.request.Depth + 1
+	a.request.Priority = parent.request.Priority
+	a.account = parent.account
+	a.parent = parent
 	return a, call.Answer{}, true
 }
 
 func (d *Daemon) prepare(view *lists.View, organisation string, r *http.Request, body []byte) (admitted, call.Answer, bool) {
-	to, ok := locate(r.URL)
+	dest, ok := locate(r.URL)
 	if !ok {
 		return refuse(call.BadRequest, 0)
 	}
-	op, ok := view.Operation(to.service, r.Method, to.path)
+	op, ok := view.Operation(dest.service, r.Method, dest.path)
 	if !ok {
 		return refuse(call.UnknownOperation, 0)
 	}
@@ -126,10 +126,10 @@
 	return admitted{request: call.Request{
 		Organisation:   organisation,
 		Operation:      op.Operation,
-		Service:        to.service,
+		Service:        dest.service,
 		Method:         r.Method,
-		Path:           to.sent,
-		Header:         passed(r.Header),
+		Path:           dest.requestURI,
+		Header:         forwardedHeaders(r.Header),
 		Body:           body,
 		Priority:       op.PriorityClass(),
 		Weight:         o.Weight,
@@ -155,21 +155,21 @@
 	return admitted{}, call.Refuse(reason, wait), false
 }
 
-// kept are the headers that are the daemon's own or belong to one connection; no upstream sees them.
-var kept = []string{
+// strippedHeaders are the headers that are the daemon's own or belong to one connection; no upstream sees them.
+var strippedHeaders = []string{
 	headerAuthorization, headerTimeout, upstream.HeaderToken, upstream.HeaderOrganisation,
 	upstream.HeaderOperation, upstream.HeaderRequestID, upstream.HeaderOutcome,
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Host", "Expect",
 }
 
-func passed(h http.Header) http.Header {
+func forwardedHeaders(h http.Header) http.Header {
 	out := h.Clone()
-	for _, name := range kept {
+	for _, name := range strippedHeaders {
 		out.Del(name)
 	}
 	for name := range out {
-		if forged(name) {
+		if isReserved(name) {
 			delete(out, name)
 		}
 	}
--- a/internal/app/daemon/faults.go
+++ b/internal/app/daemon/faults.go
@@ -10,8 +10,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/httpd"
 )
 
-// refuseFault answers a request that was refused before it was whole, in the form of all other refusals.
-func refuseFault(f httpd.Fault) (int, http.Header, []byte) {
+// faultResponse answers a request that was refused before it was whole, in the form of all other refusals.
+func faultResponse(f httpd.Fault) (int, http.Header, []byte) {
 	refusal := call.Refuse(call.BadRequest, 0)
 	switch f {
 	case httpd.HeadTooLarge, httpd.BodyTooLarge:
@@ -24,7 +24,7 @@
 	case httpd.Malformed:
 	}
 	header := http.Header{}
-	refusalHead(header, refusal)
+	setRefusalHeaders(header, refusal)
 	return refusal.Status, header, refusalBody(refusal, "")
 }
 
@@ -39,12 +39,12 @@
 	return body, err
 }
 
-// ownHeaders is what the names of the system's own headers begin with.
-const ownHeaders = "foxtailhook-"
+// reservedPrefix is what the names of the system's own headers begin with.
+const reservedPrefix = "foxtailhook-"
 
-// forged reports whether a caller's header could pass for one of the system's.
+// isReserved reports whether a caller's header could pass for one of the system's.
 // Upstreams behind CGI-like interfaces see _ and - as the same, so a caller could
 // name its organisation in Foxtailhook_Organisation.
-func forged(name string) bool {
-	return strings.HasPrefix(strings.ReplaceAll(strings.ToLower(name), "_", "-"), ownHeaders)
+func isReserved(name string) bool {
+	return strings.HasPrefix(strings.ReplaceAll(strings.ToLower(name), "_", "-"), reservedPrefix)
 }
--- a/internal/app/daemon/front.go
+++ b/internal/app/daemon/front.go
@@ -14,7 +14,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-func newID() string { return uuid.NewString() }
+func newRequestID() string { return uuid.NewString() }
 
 // Refusal is the JSON body of every answer that is not an upstream's.
 type Refusal struct {
@@ -26,50 +26,50 @@
 
 func (d *Daemon) serveCaller(w http.ResponseWriter, r *http.Request) {
 	defer d.inFlight.begin().end()
-	begun := time.Now()
+	started := time.Now()
 	body, err := readBody(r)
 	if err != nil {
-		d.turnAway(w, r, call.Refuse(call.BadRequest, 0), begun)
+		d.reject(w, r, call.Refuse(call.BadRequest, 0), started)
 		return
 	}
-	a, refusal, ok := d.admit(r, body, begun)
+	a, refusal, ok := d.admit(r, body, started)
 	if !ok {
-		d.turnAway(w, r, refusal, begun)
+		d.reject(w, r, refusal, started)
 		return
 	}
-	answer := d.repeats.route(r.Context(), a)
+	answer := d.dedup.route(r.Context(), a)
 	if answer.Outcome == call.NotRun {
-		d.rates.giveBack(&a)
+		d.rateLimiter.returnToken(&a)
 	}
-	d.finish(w, &a.request, answer, begun)
+	d.respond(w, &a.request, answer, started)
 }
 
-// turnAway answers and logs a request that did not get past the door.
-func (d *Daemon) turnAway(w http.ResponseWriter, r *http.Request, refusal call.Answer, begun time.Time) {
-	known := d.refused(r)
+// reject answers and logs a request that did not get past the door.
+func (d *Daemon) reject(w http.ResponseWriter, r *http.Request, refusal call.Answer, started time.Time) {
+	request := d.describeRefused(r)
 	d.log.WithFields(logrus.Fields{
-		"decision": "refuse", "requestId": known.ID, "organisation": known.Organisation, "service": known.Service,
-		"path": known.Path, "method": known.Method, "depth": known.Depth,
+		"decision": "refuse", "requestId": request.ID, "organisation": request.Organisation, "service": request.Service,
+		"path": request.Path, "method": request.Method, "depth": request.Depth,
 		"outcome": refusal.Outcome.String(), "reason": refusal.Reason.String(), "retryAfterMs": refusal.RetryAfter.Milliseconds(),
 	}).Info("door")
-	d.finish(w, known, refusal, begun)
+	d.respond(w, request, refusal, started)
 }
 
-func (d *Daemon) finish(w http.ResponseWriter, r *call.Request, a call.Answer, begun time.Time) {
-	d.answers.add(a, time.Since(begun))
+func (d *Daemon) respond(w http.ResponseWriter, r *call.Request, a call.Answer, started time.Time) {
+	d.answers.add(a, time.Since(started))
 	if a.Outcome == call.Whole {
-		writeWhole(w, r, a)
+		writeAnswer(w, r, a)
 		return
 	}
 	writeRefusal(w, r, a)
 }
 
-func writeWhole(w http.ResponseWriter, r *call.Request, a call.Answer) {
+func writeAnswer(w http.ResponseWriter, r *call.Request, a call.Answer) {
 	for name, values := range a.Header {
 		switch name {
 		case "Connection", "Transfer-Encoding", "Content-Length":
 		default:
-			if !forged(name) {
+			if !isReserved(name) {
 				w.Header()[name] = values
 			}
 		}
@@ -83,7 +83,7 @@
 
 func writeRefusal(w http.ResponseWriter, r *call.Request, a call.Answer) {
 	raw := refusalBody(a, r.ID)
-	refusalHead(w.Header(), a)
+	setRefusalHeaders(w.Header(), a)
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.Header().Set(upstream.HeaderRequestID, r.ID)
 	w.WriteHeader(a.Status)
@@ -97,7 +97,7 @@
 	return append(raw, '\n')
 }
 
-func refusalHead(h http.Header, a call.Answer) {
+func setRefusalHeaders(h http.Header, a call.Answer) {
 	h.Set("Content-Type", "application/json")
 	h.Set(upstream.HeaderOutcome, a.Outcome.String())
 	if a.RetryAfter > 0 {
--- a/internal/app/daemon/gauges.go
+++ b/internal/app/daemon/gauges.go
@@ -11,11 +11,11 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-const observeEvery = time.Second
+const metricsInterval = time.Second
 
-// observe shows the gate and the doors in the metrics for as long as the daemon runs.
-func (d *Daemon) observe() {
-	tick := time.NewTicker(observeEvery)
+// reportMetrics shows the gate and the doors in the metrics for as long as the daemon runs.
+func (d *Daemon) reportMetrics() {
+	tick := time.NewTicker(metricsInterval)
 	defer tick.Stop()
 	var last admission.Counts
 	var bytes peer.Traffic
@@ -24,23 +24,23 @@
 		case <-d.control.ctx.Done():
 			return
 		case <-tick.C:
-			last = d.observeGate(last)
-			d.metrics.Gauge(telemetry.DoorsClosing).Update(float64(d.doors.Len()))
-			d.observeFleet()
-			bytes = d.observePeers(bytes)
+			last = d.reportGate(last)
+			d.metrics.Gauge(telemetry.DoorsClosing).Update(float64(d.throttles.Len()))
+			d.reportFleet()
+			bytes = d.reportPeers(bytes)
 		}
 	}
 }
 
-// observeFleet shows whether the lists are current, and who gets no new work.
-func (d *Daemon) observeFleet() {
+// reportFleet shows whether the lists are current, and who gets no new work.
+func (d *Daemon) reportFleet() {
 	scope := d.metrics.Scope
 	leaving, suspects := d.members.Load().Counts()
 	scope.Gauge(telemetry.MembersLeaving).Update(float64(leaving))
 	scope.Gauge(telemetry.MembersSuspect).Update(float64(suspects))
 	scope.Gauge(telemetry.PeerConnections).Update(float64(d.peers.Connections()))
 	serving := 0.0
-	if d.takes(time.Now()) {
+	if d.acceptsCallers(time.Now()) {
 		serving = 1
 	}
 	scope.Gauge(telemetry.Serving).Update(serving)
@@ -51,34 +51,34 @@
 	}
 }
 
-// observePeers returns the bytes between daemons that it has shown.
-func (d *Daemon) observePeers(last peer.Traffic) peer.Traffic {
+// reportPeers returns the bytes between daemons that it has shown.
+func (d *Daemon) reportPeers(last peer.Traffic) peer.Traffic {
 	traffic := d.peers.Traffic()
 	for k, bytes := range traffic.ByKind {
 		if k == 0 {
 			continue
 		}
 		scope := d.metrics.Tagged(map[string]string{"message": peer.Kind(k).String()})
-		add(scope.Counter(telemetry.PeerBytesSent), bytes.Sent, last.ByKind[k].Sent)
-		add(scope.Counter(telemetry.PeerBytesGot), bytes.Received, last.ByKind[k].Received)
+		addDelta(scope.Counter(telemetry.PeerBytesSent), bytes.Sent, last.ByKind[k].Sent)
+		addDelta(scope.Counter(telemetry.PeerBytesGot), bytes.Received, last.ByKind[k].Received)
 	}
 	return traffic
 }
 
-// observeGate returns the counts that it has shown.
-func (d *Daemon) observeGate(last admission.Counts) admission.Counts {
+// reportGate returns the counts that it has shown.
+func (d *Daemon) reportGate(last admission.Counts) admission.Counts {
 	scope := d.metrics.Scope
-	load, counts := d.owner.gate.Load(), d.owner.gate.Counts()
+	load, counts := d.executor.gate.Load(), d.executor.gate.Counts()
 	scope.Gauge(telemetry.GateLimit).Update(float64(load.Limit))
 	scope.Gauge(telemetry.GateRunning).Update(float64(load.InFlight))
 	scope.Gauge(telemetry.GateQueued).Update(float64(load.Queued))
-	add(scope.Counter(telemetry.GateRan), counts.Ran, last.Ran)
-	add(scope.Counter(telemetry.GateWaited), counts.Waited, last.Waited)
-	add(scope.Counter(telemetry.GateRefused), counts.Refused, last.Refused)
-	add(scope.Counter(telemetry.GateEvicted), counts.Evicted, last.Evicted)
-	add(scope.Counter(telemetry.GateExpired), counts.Expired, last.Expired)
-	add(scope.Counter(telemetry.GateShed), counts.Shed, last.Shed)
+	addDelta(scope.Counter(telemetry.GateRan), counts.Ran, last.Ran)
+	addDelta(scope.Counter(telemetry.GateWaited), counts.Waited, last.Waited)
+	addDelta(scope.Counter(telemetry.GateRefused), counts.Refused, last.Refused)
+	addDelta(scope.Counter(telemetry.GateEvicted), counts.Evicted, last.Evicted)
+	addDelta(scope.Counter(telemetry.GateExpired), counts.Expired, last.Expired)
+	addDelta(scope.Counter(telemetry.GateShed), counts.Shed, last.Shed)
 	return counts
 }
 
-func add(counter tally.Counter, now, last uint64) { counter.Inc(int64(now - last)) }
+func addDelta(counter tally.Counter, now, last uint64) { counter.Inc(int64(now - last)) }
--- a/internal/app/daemon/handoff.go
+++ b/internal/app/daemon/handoff.go
@@ -9,9 +9,9 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// handoff is a request on its way to the daemon beside the chosen upstream. It
+// runRequest is a request on its way to the daemon beside the chosen upstream. It
 // carries the time left rather than the deadline, since clocks differ.
-type handoff struct {
+type runRequest struct {
 	ID             string        `msgpack:"id"`
 	Organisation   string        `msgpack:"organisation"`
 	Operation      string        `msgpack:"operation"`
@@ -29,8 +29,8 @@
 	Depth          int           `msgpack:"depth"`
 }
 
-// handback is the answer to a handoff.
-type handback struct {
+// runResult is the answer to a handoff.
+type runResult struct {
 	Outcome    call.Outcome  `msgpack:"outcome"`
 	Reason     call.Reason   `msgpack:"reason"`
 	Status     int           `msgpack:"status"`
@@ -41,70 +41,74 @@
 	Load       call.Load     `msgpack:"load"`
 }
 
-func newHandoff(r *call.Request, now time.Time) handoff {
-	return handoff{
+func newRunRequest(r *call.Request, now time.Time) runRequest {
+	return runRequest{
 		ID: r.ID, Organisation: r.Organisation, Operation: r.Operation, Service: r.Service,
-		Method: r.Method, Path: r.Path, Header: r.Header, Body: r.Body, Remaining: forAnswer(r.Remaining(now)),
+		Method: r.Method, Path: r.Path, Header: r.Header, Body: r.Body, Remaining: withoutReturnTime(r.Remaining(now)),
 		Priority: r.Priority, Weight: r.Weight, Idempotent: r.Idempotent, IdempotencyKey: r.IdempotencyKey,
 		Budget: r.Budget, Depth: r.Depth,
 	}
 }
 
 const (
-	answerShare = 10
-	answerTime  = 5 * time.Millisecond
+	reserveDivisor = 10
+	maxReturnTime  = 5 * time.Millisecond
 )
 
-// forAnswer takes the time that an answer needs on its way back from the time
+// withoutReturnTime takes the time that an answer needs on its way back from the time
 // left. A booking whose time runs out in the other host's queue is refused there
 // in time; told a moment too late, it would be called unknown though nothing ran.
-func forAnswer(left time.Duration) time.Duration { return left - setAside(left, answerTime) }
+func withoutReturnTime(remaining time.Duration) time.Duration {
+	return remaining - reserve(remaining, maxReturnTime)
+}
 
-// setAside returns the part of the time left that is kept for an answer, at most so much.
-func setAside(left, most time.Duration) time.Duration { return min(left/answerShare, most) }
+// reserve returns the part of the time left that is kept for an answer, at most so much.
+func reserve(remaining, maximum time.Duration) time.Duration {
+	return min(remaining/reserveDivisor, maximum)
+}
 
-func (h *handoff) request(now time.Time) *call.Request {
+func (req *runRequest) request(now time.Time) *call.Request {
 	return &call.Request{
-		ID: h.ID, Organisation: h.Organisation, Operation: h.Operation, Service: h.Service,
-		Method: h.Method, Path: h.Path, Header: h.Header, Body: h.Body, Deadline: now.Add(h.Remaining),
-		Priority: h.Priority, Weight: h.Weight, Idempotent: h.Idempotent, IdempotencyKey: h.IdempotencyKey,
-		Budget: h.Budget, Depth: h.Depth,
+		ID: req.ID, Organisation: req.Organisation, Operation: req.Operation, Service: req.Service,
+		Method: req.Method, Path: req.Path, Header: req.Header, Body: req.Body, Deadline: now.Add(req.Remaining),
+		Priority: req.Priority, Weight: req.Weight, Idempotent: req.Idempotent, IdempotencyKey: req.IdempotencyKey,
+		Budget: req.Budget, Depth: req.Depth,
 	}
 }
 
-func newHandback(a call.Answer) handback {
-	return handback{
+func newRunResult(a call.Answer) runResult {
+	return runResult{
 		Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, Header: a.Header, Body: a.Body,
 		RetryAfter: a.RetryAfter, BudgetLeft: a.BudgetLeft, Load: a.Load,
 	}
 }
 
-func (h *handback) answer() call.Answer {
+func (res *runResult) answer() call.Answer {
 	return call.Answer{
-		Outcome: h.Outcome, Reason: h.Reason, Status: h.Status, Header: h.Header, Body: h.Body,
-		RetryAfter: h.RetryAfter, BudgetLeft: h.BudgetLeft, Load: h.Load,
+		Outcome: res.Outcome, Reason: res.Reason, Status: res.Status, Header: res.Header, Body: res.Body,
+		RetryAfter: res.RetryAfter, BudgetLeft: res.BudgetLeft, Load: res.Load,
 	}
 }
 
-func (d *Daemon) takeHandoff(ctx context.Context, _ netip.AddrPort, h handoff) handback {
+func (d *Daemon) handleRunRequest(ctx context.Context, _ netip.AddrPort, req runRequest) runResult {
 	defer d.inFlight.begin().end()
-	r := h.request(time.Now())
+	r := req.request(time.Now())
 	if d.leaving.Load() || r.Service != d.settings.Service {
 		refusal := call.Refuse(call.Draining, time.Second)
 		refusal.BudgetLeft = r.Budget
-		return newHandback(refusal)
+		return newRunResult(refusal)
 	}
-	release, ok := d.callers.Hold(len(r.Body))
+	release, ok := d.callerServer.Hold(len(r.Body))
 	if !ok {
-		return newHandback(full(r))
+		return newRunResult(bodyMemoryRefusal(r))
 	}
 	defer release()
-	return newHandback(d.owner.run(ctx, r, nil))
+	return newRunResult(d.executor.run(ctx, r, nil))
 }
 
-// full refuses a request whose body has no room beside those held. Bodies that
+// bodyMemoryRefusal refuses a request whose body has no room beside those held. Bodies that
 // other daemons hand on wait for slots here, and would add up without bound.
-func full(r *call.Request) call.Answer {
+func bodyMemoryRefusal(r *call.Request) call.Answer {
 	refusal := call.Refuse(call.Overloaded, time.Second)
 	refusal.BudgetLeft = r.Budget
 	return refusal
--- a/internal/app/daemon/inflight.go
+++ b/internal/app/daemon/inflight.go
@@ -10,8 +10,8 @@
 type inFlight struct {
 	total   atomic.Int64
 	current atomic.Pointer[generation]
-	// earlier belongs to the thread that stops the daemon.
-	earlier []*generation
+	// draining belongs to the thread that stops the daemon.
+	draining []*generation
 }
 
 // generation is the requests that began between two moments.
@@ -47,7 +47,7 @@
 	g.total.Add(-1)
 }
 
-const drainLook = 10 * time.Millisecond
+const drainPollInterval = 10 * time.Millisecond
 
 // drain waits until the requests that are at work now have ended, at most for the limit.
 //
@@ -55,14 +55,14 @@
 // any request, a daemon of a busy service would take its whole drain time, and
 // longer than the platform leaves it, to pass on its idempotency keys.
 func (f *inFlight) drain(limit time.Duration) {
-	f.earlier = append(f.earlier, f.current.Swap(&generation{total: &f.total}))
-	for end := time.Now().Add(limit); f.left() && time.Now().Before(end); {
-		time.Sleep(drainLook)
+	f.draining = append(f.draining, f.current.Swap(&generation{total: &f.total}))
+	for end := time.Now().Add(limit); f.pending() && time.Now().Before(end); {
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// left reports whether a request that began before the last drain is at work.
-func (f *inFlight) left() bool {
-	f.earlier = slices.DeleteFunc(f.earlier, func(g *generation) bool { return g.count.Load() <= 0 })
-	return len(f.earlier) > 0
+// pending reports whether a request that began before the last drain is at work.
+func (f *inFlight) pending() bool {
+	f.draining = slices.DeleteFunc(f.draining, func(g *generation) bool { return g.count.Load() <= 0 })
+	return len(f.draining) > 0
 }
--- a/internal/app/daemon/leaving.go
+++ b/internal/app/daemon/leaving.go
@@ -16,21 +16,21 @@
 func (d *Daemon) stop() {
 	d.leaving.Store(true)
 	d.log.Info("leaving")
-	d.control.leave()
+	d.control.announceLeaving()
 	time.Sleep(d.settings.LeaveTime)
 	d.drain()
-	d.repeats.pass()
+	d.dedup.transferKeys()
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTime)
 	defer cancel()
-	if err := d.callers.Stop(ctx); err != nil {
+	if err := d.callerServer.Stop(ctx); err != nil {
 		d.log.WithError(err).Warn("callers' port")
 	}
 	d.drain()
-	d.rates.cease()
-	d.rates.stop()
+	d.rateLimiter.handOverShards()
+	d.rateLimiter.stop()
 	d.control.stop()
 	d.peers.Stop()
-	_ = d.operator.Stop(ctx)
+	_ = d.operatorServer.Stop(ctx)
 	d.metrics.Close()
 	d.log.WithField("inFlight", d.inFlight.total.Load()).Info("stopped")
 }
--- a/internal/app/daemon/memory.go
+++ b/internal/app/daemon/memory.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// largeValue is the size of a list from which its reading leaves megabytes behind.
-	largeValue = 64 << 10
+	// largeValueBytes is the size of a list from which its reading leaves megabytes behind.
+	largeValueBytes = 64 << 10
 	// releaseDelay gathers the lists that come together, as at a start.
 	releaseDelay = 2 * time.Second
-	// releaseSpacing bounds what lists that change all the time cost: a collection takes as long as reading one of them.
-	releaseSpacing = 5 * time.Second
+	// minReleaseInterval bounds what lists that change all the time cost: a collection takes as long as reading one of them.
+	minReleaseInterval = 5 * time.Second
 )
 
-// release collects often from now on, and gives memory back a little later; it is called when a large list
+// noteLargeValue collects often from now on, and gives memory back a little later; it is called when a large list
 // is read or handed out.
 //
 // Reading a megabyte of JSON leaves several times as much garbage, and handing it out a copy for each peer. The runtime
@@ -23,72 +23,72 @@
 // what it needs, and a daemon without much traffic may not reach the next doubling for minutes; until then its
 // host's upstream lacks the memory.
 // One collection for each time that large lists come costs some milliseconds.
-func (c *control) release(size int) {
-	if size < largeValue {
+func (c *control) noteLargeValue(size int) {
+	if size < largeValueBytes {
 		return
 	}
-	c.large = true
+	c.largeValueSeen = true
 	if !c.releasing {
 		c.releasing = true
-		sparing.begin()
-		c.giveBack(max(releaseDelay, releaseSpacing-time.Since(c.released)))
+		sharedGCTuner.begin()
+		c.releaseAfter(max(releaseDelay, minReleaseInterval-time.Since(c.lastRelease)))
 	}
 }
 
-func (c *control) giveBack(wait time.Duration) {
-	time.AfterFunc(wait, func() {
-		c.ask(func() { c.large = false })
+func (c *control) releaseAfter(delay time.Duration) {
+	time.AfterFunc(delay, func() {
+		c.do(func() { c.largeValueSeen = false })
 		debug.FreeOSMemory()
-		if !c.ask(c.gaveBack) {
-			sparing.end()
+		if !c.do(c.memoryReleased) {
+			sharedGCTuner.end()
 		}
 	})
 }
 
-// gaveBack ends the sparing, unless another large list came while memory was given back.
-func (c *control) gaveBack() {
-	c.released = time.Now()
-	if c.large {
-		c.giveBack(releaseSpacing)
+// memoryReleased ends the sparing, unless another large list came while memory was given back.
+func (c *control) memoryReleased() {
+	c.lastRelease = time.Now()
+	if c.largeValueSeen {
+		c.releaseAfter(minReleaseInterval)
 		return
 	}
 	c.releasing = false
-	sparing.end()
+	sharedGCTuner.end()
 }
 
-// sparePercent is the garbage collector's percentage while large lists come. At the runtime's default of 100 the
+// largeValueGCPercent is the garbage collector's percentage while large lists come. At the runtime's default of 100 the
 // garbage of some lists adds as much as all that the daemon holds; less than 25 costs more processor time than it saves memory.
-const sparePercent = 25
+const largeValueGCPercent = 25
 
-// collector sets how often the process collects; all daemons of one process share it.
-type collector struct {
-	mu      sync.Mutex
-	holders int
-	percent int
+// gcTuner sets how often the process collects; all daemons of one process share it.
+type gcTuner struct {
+	mu       sync.Mutex
+	users    int
+	previous int
 }
 
-var sparing collector
+var sharedGCTuner gcTuner
 
 // begin makes the process collect often until the matching end; a percentage that is smaller, or off, is the operator's wish and stays.
-func (c *collector) begin() {
+func (c *gcTuner) begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.holders++
-	if c.holders > 1 {
+	c.users++
+	if c.users > 1 {
 		return
 	}
-	c.percent = debug.SetGCPercent(sparePercent)
-	if c.percent < sparePercent {
-		debug.SetGCPercent(c.percent)
+	c.previous = debug.SetGCPercent(largeValueGCPercent)
+	if c.previous < largeValueGCPercent {
+		debug.SetGCPercent(c.previous)
 	}
 }
 
 // end brings back the percentage from before the first begin with the last end.
-func (c *collector) end() {
+func (c *gcTuner) end() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.holders--
-	if c.holders == 0 {
-		debug.SetGCPercent(c.percent)
+	c.users--
+	if c.users == 0 {
+		debug.SetGCPercent(c.previous)
 	}
 }
--- a/internal/app/daemon/memory_test.go
+++ b/internal/app/daemon/memory_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestCollectorGivesTheOperatorsSettingBack(t *testing.T) {
+func TestGCPercentIsRestored(t *testing.T) {
 	// Two daemons of one process read large lists, one after the other or at the same time. Were the second to
 	// take the first one's percentage for the operator's, the process would collect at every few megabytes for
 	// as long as it lives; one started with GOGC=off or a smaller GOGC would collect otherwise than it was told.
@@ -15,7 +15,7 @@
 		name        string
 		set, during int
 	}{
-		{"the default", 100, sparePercent},
+		{"the default", 100, largeValueGCPercent},
 		{"a smaller one", 10, 10},
 		{"off", -1, -1},
 	}
@@ -23,13 +23,13 @@
 		Convey(c.name, t, func() {
 			before := debug.SetGCPercent(c.set)
 			defer debug.SetGCPercent(before)
-			var s collector
-			s.begin()
-			s.begin()
+			var tuner gcTuner
+			tuner.begin()
+			tuner.begin()
 			So(percent(), ShouldEqual, c.during)
-			s.end()
+			tuner.end()
 			So(percent(), ShouldEqual, c.during)
-			s.end()
+			tuner.end()
 			So(percent(), ShouldEqual, c.set)
 		})
 	}
--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -16,60 +16,60 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// repeats lets a request that may not be repeated run once for its idempotency key.
+// deduplicator lets a request that may not be repeated run once for its idempotency key.
 //
 // All attempts with a key meet at its holder, one of the service's hosts, which
 // remembers what became of the first. The holder places the request like any
 // other; only the memory has a fixed place.
-type repeats struct {
-	daemon  *Daemon
-	ledger  *ledger.Ledger
-	history *ledger.History
-	window  time.Duration
-	passed  atomic.Bool
+type deduplicator struct {
+	daemon     *Daemon
+	ledger     *ledger.Ledger
+	history    *ledger.History
+	window     time.Duration
+	handedOver atomic.Bool
 
 	// addresses are those of the hosts that are asked, also of such that the list
 	// has dropped: only they can say that they have left the earlier list.
 	addresses atomic.Pointer[map[string]netip.AddrPort]
 }
 
-func newRepeats(d *Daemon) *repeats {
+func newDeduplicator(d *Daemon) *deduplicator {
 	s := d.settings
 	// A repeat that was sent at the end of the window is still on its way for as
 	// long as a request may take. Forgotten meanwhile, it would run again.
 	window := s.RepeatWindow + s.MaxTimeout
-	r := &repeats{
+	r := &deduplicator{
 		daemon:  d,
 		ledger:  ledger.New(window, s.RepeatKeys, s.RepeatBytes, time.Now()),
 		history: ledger.NewHistory(window),
 		window:  window,
 	}
-	peer.Handle(d.peers, peer.KindOnce, r.takeOnce)
-	peer.Handle(d.peers, peer.KindRecall, r.takeRecall)
-	peer.Handle(d.peers, peer.KindLegacy, r.takeLegacy)
+	peer.Handle(d.peers, peer.KindOnce, r.handleOnce)
+	peer.Handle(d.peers, peer.KindRecall, r.handleRecall)
+	peer.Handle(d.peers, peer.KindLegacy, r.handleTransfer)
 	return r
 }
 
 // observe notes the hosts of the daemon's own service; it runs on the control thread.
-func (r *repeats) observe(view *lists.View, now time.Time) {
+func (r *deduplicator) observe(view *lists.View, now time.Time) {
 	r.history.Observe(view.Version(lists.KindHosts), holders(view, r.daemon.settings.Service), now)
-	r.remember(view, now)
+	r.updateAddresses(view, now)
 }
 
-// remember keeps the addresses of the hosts that may be asked.
-func (r *repeats) remember(view *lists.View, now time.Time) {
-	next := map[string]netip.AddrPort{}
-	if before := r.addresses.Load(); before != nil {
+// updateAddresses keeps the addresses of the hosts that may be asked.
+func (r *deduplicator) updateAddresses(view *lists.View, now time.Time) {
+	addresses := map[string]netip.AddrPort{}
+	if previous := r.addresses.Load(); previous != nil {
 		for _, name := range r.history.Everyone(now) {
-			if at, ok := (*before)[name]; ok {
-				next[name] = at
+			if address, ok := (*previous)[name]; ok {
+				addresses[name] = address
 			}
 		}
 	}
 	for _, h := range view.HostsOf(r.daemon.settings.Service) {
-		next[h.Host] = h.Peer
+		addresses[h.Host] = h.Peer
 	}
-	r.addresses.Store(&next)
+	r.addresses.Store(&addresses)
 }
 
 // holders returns the hosts of a service among which keys are spread. A leaving
@@ -85,36 +85,36 @@
 }
 
 const (
-	// holderTries and holderPause bound how long a request follows its key's
+	// maxHolderAttempts and holderPause bound how long a request follows its key's
 	// holder while daemons take up a new host list one after another.
-	holderTries = 4
-	holderPause = 150 * time.Millisecond
+	maxHolderAttempts = 4
+	holderRetryDelay  = 150 * time.Millisecond
 )
 
 // route runs a request at its key's holder if it must not be repeated, else anywhere.
-func (r *repeats) route(ctx context.Context, a admitted) call.Answer {
+func (r *deduplicator) route(ctx context.Context, a admitted) call.Answer {
 	if a.request.Idempotent || a.request.IdempotencyKey == "" {
 		return r.daemon.dispatch(ctx, a)
 	}
 	ctx, cancel := context.WithDeadline(ctx, a.request.Deadline)
 	defer cancel()
 	answer := call.Refuse(call.NoUpstream, time.Second)
-	for try := 1; try <= holderTries; try++ {
-		answer = r.toHolder(ctx, a)
+	for attempt := 1; attempt <= maxHolderAttempts; attempt++ {
+		answer = r.sendToHolder(ctx, a)
 		if answer.Outcome != call.NotRun || answer.Reason != call.Draining {
 			break
 		}
-		sleep(ctx, holderPause)
+		sleep(ctx, holderRetryDelay)
 	}
 	answer.BudgetLeft = a.account.Left()
 	return answer
 }
 
-func keyOf(q *call.Request) ledger.Key {
-	return ledger.Key{Organisation: q.Organisation, Operation: q.Operation, Text: q.IdempotencyKey}
+func keyOf(r *call.Request) ledger.Key {
+	return ledger.Key{Organisation: r.Organisation, Operation: r.Operation, Text: r.IdempotencyKey}
 }
 
-func (r *repeats) toHolder(ctx context.Context, a admitted) call.Answer {
+func (r *deduplicator) sendToHolder(ctx context.Context, a admitted) call.Answer {
 	view := r.daemon.view.Load()
 	holder := ledger.Holder(keyOf(&a.request), holders(view, a.request.Service))
 	host, ok := view.Host(holder)
@@ -122,49 +122,49 @@
 		return call.Refuse(call.NoUpstream, time.Second)
 	}
 	if holder == r.daemon.settings.Host {
-		return r.hold(ctx, a)
+		return r.runOnce(ctx, a)
 	}
-	if back := r.daemon.members.Load().Back(holder, time.Now()); back > 0 {
-		return call.Refuse(call.NoUpstream, back)
+	if retryAfter := r.daemon.members.Load().Back(holder, time.Now()); retryAfter > 0 {
+		return call.Refuse(call.NoUpstream, retryAfter)
 	}
 	sent := a.request
-	if sent.Budget = r.daemon.draw(ctx, a); sent.Budget == 0 {
-		return unfunded(ctx)
+	if sent.Budget = r.daemon.drawBudget(ctx, a); sent.Budget == 0 {
+		return noBudgetRefusal(ctx)
 	}
-	answer := r.handOn(ctx, host, &sent)
+	answer := r.forwardToHolder(ctx, host, &sent)
 	a.account.Settle(sent.Budget, answer.BudgetLeft)
 	return answer
 }
 
-func (r *repeats) handOn(ctx context.Context, host lists.Host, sent *call.Request) call.Answer {
-	back, err := peer.Call[handoff, handback](ctx, r.daemon.peers, host.Peer, peer.KindOnce, newHandoff(sent, time.Now()))
+func (r *deduplicator) forwardToHolder(ctx context.Context, host lists.Host, sent *call.Request) call.Answer {
+	reply, err := peer.Call[runRequest, runResult](ctx, r.daemon.peers, host.Peer, peer.KindOnce, newRunRequest(sent, time.Now()))
 	if err == nil {
-		return back.answer()
+		return reply.answer()
 	}
-	answer := r.daemon.unanswered(sent, err)
+	answer := r.daemon.forwardingFailure(sent, err)
 	// A holder in another region is nobody's neighbour: unless its requests raise a doubt, each
 	// of them waits for it until its own time is up, for as long as the regions are apart.
-	r.daemon.judge(host.Host, answer)
+	r.daemon.checkAnswer(host.Host, answer)
 	return answer
 }
 
-func (r *repeats) takeOnce(ctx context.Context, _ netip.AddrPort, h handoff) handback {
+func (r *deduplicator) handleOnce(ctx context.Context, _ netip.AddrPort, req runRequest) runResult {
 	defer r.daemon.inFlight.begin().end()
-	a := admitted{request: *h.request(time.Now()), account: budget.New(h.Budget)}
-	release, ok := r.daemon.callers.Hold(len(h.Body))
+	a := admitted{request: *req.request(time.Now()), account: budget.New(req.Budget)}
+	release, ok := r.daemon.callerServer.Hold(len(req.Body))
 	if !ok {
-		return newHandback(full(&a.request))
+		return newRunResult(bodyMemoryRefusal(&a.request))
 	}
 	defer release()
-	answer := r.hold(ctx, a)
+	answer := r.runOnce(ctx, a)
 	answer.BudgetLeft = a.account.Left()
-	return newHandback(answer)
+	return newRunResult(answer)
 }
 
-// hold is the holder's part: it runs the request, or answers what became of the one that came first.
-func (r *repeats) hold(ctx context.Context, a admitted) call.Answer {
+// runOnce is the holder's part: it runs the request, or answers what became of the one that came first.
+func (r *deduplicator) runOnce(ctx context.Context, a admitted) call.Answer {
 	key := keyOf(&a.request)
-	if r.passed.Load() || ledger.Holder(key, r.history.Hosts()) != r.daemon.settings.Host {
+	if r.handedOver.Load() || ledger.Holder(key, r.history.Hosts()) != r.daemon.settings.Host {
 		return call.Refuse(call.Draining, time.Second)
 	}
 	fingerprint := ledger.NewFingerprint(a.request.Method, a.request.Path, a.request.Body)
@@ -174,7 +174,7 @@
 		ticket := r.ledger.Begin(key, fingerprint, time.Now())
 		switch ticket.Claim {
 		case ledger.Begun:
-			return r.begun(ctx, a, key, ticket)
+			return r.runNewKey(ctx, a, key, ticket)
 		case ledger.Joined:
 			select {
 			case <-ticket.Done:
@@ -194,12 +194,12 @@
 	}
 }
 
-// begun runs the request of a key that is certainly new.
+// runNewKey runs the request of a key that is certainly new.
 //
 // The run goes on when its first caller hangs up: it is bounded by its deadline,
 // and the caller comes back with the key for the answer.
-func (r *repeats) begun(ctx context.Context, a admitted, key ledger.Key, t ledger.Ticket) call.Answer {
-	answer, known := r.ask(ctx, key, t)
+func (r *deduplicator) runNewKey(ctx context.Context, a admitted, key ledger.Key, t ledger.Ticket) call.Answer {
+	answer, known := r.askOthers(ctx, key, t)
 	if known {
 		r.ledger.Release(key, time.Now())
 	} else {
@@ -213,30 +213,30 @@
 	return answer
 }
 
-// ask returns what the other daemons say of a key, or false if no request with it can have run.
-func (r *repeats) ask(ctx context.Context, key ledger.Key, t ledger.Ticket) (call.Answer, bool) {
+// askOthers returns what the other daemons say of a key, or false if no request with it can have run.
+func (r *deduplicator) askOthers(ctx context.Context, key ledger.Key, t ledger.Ticket) (call.Answer, bool) {
 	now := time.Now()
-	q := ledger.Evidence{
+	evidence := ledger.Evidence{
 		Self: r.daemon.settings.Host, Own: r.ledger.Own(now), Moves: t.Moves, Window: r.window,
 		Need: key.Age(now, r.window), Required: r.history.Required(key, now),
 	}
-	if q.Need > r.window {
+	if evidence.Need > r.window {
 		return call.Lose(call.Repeated), true
 	}
-	if r.history.Confirmed(now) && !q.Asking() {
+	if r.history.Confirmed(now) && !evidence.Asking() {
 		return call.Answer{}, false
 	}
-	q.Replies = r.recallAll(ctx, recall{Key: key, Asker: q.Self}, now)
-	if m, ok := q.Known(); ok {
-		if m.State == ledger.Finished && m.Kept {
-			return m.Answer, true
+	evidence.Replies = r.recall(ctx, recallRequest{Key: key, Asker: evidence.Self}, now)
+	if reply, ok := evidence.Known(); ok {
+		if reply.State == ledger.Finished && reply.Kept {
+			return reply.Answer, true
 		}
 		return call.Lose(call.Repeated), true
 	}
 	switch confirmed := r.history.Confirmed(time.Now()); {
-	case confirmed && q.New():
+	case confirmed && evidence.New():
 		return call.Answer{}, false
-	case q.New() || q.Pending():
+	case evidence.New() || evidence.Pending():
 		return r.undecided(time.Now()), true
 	default:
 		return call.Lose(call.Repeated), true
@@ -245,7 +245,7 @@
 
 // undecided is the answer while hosts that may know of a key can't be reached. It
 // is no notRun: an attempt before this one may have run where they are.
-func (r *repeats) undecided(now time.Time) call.Answer {
+func (r *deduplicator) undecided(now time.Time) call.Answer {
 	answer := call.Lose(call.Undecided)
 	answer.RetryAfter = time.Second
 	members := r.daemon.members.Load()
@@ -255,13 +255,13 @@
 	return answer
 }
 
-// recallTime bounds how long the other daemons are waited for.
-const recallTime = 500 * time.Millisecond
+// recallTimeout bounds how long the other daemons are waited for.
+const recallTimeout = 500 * time.Millisecond
 
-// recallAll asks every daemon that may hold the key, and learns from the same answers whether the host list is theirs too.
+// recall asks every daemon that may hold the key, and learns from the same answers whether the host list is theirs too.
 // A suspect counts as silent without being asked: for as long as regions are apart, each key in doubt would wait recallTime for it.
-func (r *repeats) recallAll(ctx context.Context, question recall, now time.Time) map[string]ledger.RecallReply {
-	ctx, cancel := context.WithTimeout(ctx, recallTime)
+func (r *deduplicator) recall(ctx context.Context, query recallRequest, now time.Time) map[string]ledger.RecallReply {
+	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
 	var addresses map[string]netip.AddrPort
 	if known := r.addresses.Load(); known != nil {
@@ -270,101 +270,101 @@
 	members := r.daemon.members.Load()
 	replies := map[string]ledger.RecallReply{}
 	var mu sync.Mutex
-	var asking sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, name := range r.history.Everyone(now) {
 		to, ok := addresses[name]
-		if !ok || name == question.Asker || members.Suspect(name) {
+		if !ok || name == query.Asker || members.Suspect(name) {
 			continue
 		}
-		asking.Go(func() {
-			m, err := peer.Call[recall, ledger.RecallReply](ctx, r.daemon.peers, to, peer.KindRecall, question)
+		calls.Go(func() {
+			reply, err := peer.Call[recallRequest, ledger.RecallReply](ctx, r.daemon.peers, to, peer.KindRecall, query)
 			if err != nil {
-				r.daemon.raise(doubt{host: name})
+				r.daemon.reportFailure(hostFailure{host: name})
 				return
 			}
 			mu.Lock()
-			replies[name] = m
+			replies[name] = reply
 			mu.Unlock()
 		})
 	}
-	asking.Wait()
-	words := make(map[string]ledger.ListReport, len(replies))
-	for name, m := range replies {
-		words[name] = m.Lists
+	calls.Wait()
+	reports := make(map[string]ledger.ListReport, len(replies))
+	for name, reply := range replies {
+		reports[name] = reply.Lists
 	}
-	r.history.Confirm(question.Asker, words, now)
+	r.history.Confirm(query.Asker, reports, now)
 	return replies
 }
 
-// recall asks what a daemon knows of a key, and that it lets go of it; without a key it asks for the host list only.
-type recall struct {
+// recallRequest asks what a daemon knows of a key, and that it lets go of it; without a key it asks for the host list only.
+type recallRequest struct {
 	Key   ledger.Key `msgpack:"key"`
 	Asker string     `msgpack:"asker"`
 }
 
-func (r *repeats) takeRecall(_ context.Context, _ netip.AddrPort, q recall) ledger.RecallReply {
+func (r *deduplicator) handleRecall(_ context.Context, _ netip.AddrPort, query recallRequest) ledger.RecallReply {
 	now := time.Now()
-	m := ledger.RecallReply{}
-	if q.Key != (ledger.Key{}) {
-		m = r.ledger.Recall(q.Key, q.Asker, now)
-		m.Required = r.history.Required(q.Key, now)
+	reply := ledger.RecallReply{}
+	if query.Key != (ledger.Key{}) {
+		reply = r.ledger.Recall(query.Key, query.Asker, now)
+		reply.Required = r.history.Required(query.Key, now)
 	}
-	m.Lists = r.history.Report()
-	return m
+	reply.Lists = r.history.Report()
+	return reply
 }
 
 // confirmsPerWindow is how often a daemon asks whether its host list is still
 // the others' list; a confirmation lasts half the window, so several may fail.
 const confirmsPerWindow = 16
 
-// confirm keeps the host list confirmed until ctx ends, so that requests need not wait for it.
-func (r *repeats) confirm(ctx context.Context) {
+// keepConfirmed keeps the host list confirmed until ctx ends, so that requests need not wait for it.
+func (r *deduplicator) keepConfirmed(ctx context.Context) {
 	for ctx.Err() == nil {
-		r.recallAll(ctx, recall{Asker: r.daemon.settings.Host}, time.Now())
+		r.recall(ctx, recallRequest{Asker: r.daemon.settings.Host}, time.Now())
 		sleep(ctx, r.window/confirmsPerWindow)
 	}
 }
 
-// legacy is the memory of a daemon that leaves.
-type legacy struct {
+// keyTransfer is the memory of a daemon that leaves.
+type keyTransfer struct {
 	From    string          `msgpack:"from"`
 	Records []ledger.Record `msgpack:"records"`
 	Age     time.Duration   `msgpack:"age"`
 }
 
-// accepted tells whether a message was taken over.
-type accepted struct {
+// transferReply tells whether a message was taken over.
+type transferReply struct {
 	OK bool `msgpack:"ok"`
 }
 
-func (r *repeats) takeLegacy(_ context.Context, _ netip.AddrPort, l legacy) accepted {
-	return accepted{OK: r.ledger.Inherit(l.From, l.Records, l.Age, time.Now())}
+func (r *deduplicator) handleTransfer(_ context.Context, _ netip.AddrPort, transfer keyTransfer) transferReply {
+	return transferReply{OK: r.ledger.Inherit(transfer.From, transfer.Records, transfer.Age, time.Now())}
 }
 
-// legacyTime bounds how long a leaving daemon waits for the others to take over its memory.
-const legacyTime = 2 * time.Second
+// transferTimeout bounds how long a leaving daemon waits for the others to take over its memory.
+const transferTimeout = 2 * time.Second
 
-// pass gives the memory to every other host of the service, so that a restart of
+// transferKeys gives the memory to every other host of the service, so that a restart of
 // all hosts one by one loses no key; after it this daemon holds no keys.
-func (r *repeats) pass() {
-	r.passed.Store(true)
+func (r *deduplicator) transferKeys() {
+	r.handedOver.Store(true)
 	r.daemon.drain()
-	ctx, cancel := context.WithTimeout(context.Background(), legacyTime)
+	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	now := time.Now()
-	out := legacy{From: r.daemon.settings.Host, Records: r.ledger.Records(now), Age: r.ledger.Own(now).Age}
+	transfer := keyTransfer{From: r.daemon.settings.Host, Records: r.ledger.Records(now), Age: r.ledger.Own(now).Age}
 	view := r.daemon.view.Load()
-	var passing sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, host := range view.HostsOf(r.daemon.settings.Service) {
-		if host.Host == out.From {
+		if host.Host == transfer.From {
 			continue
 		}
-		passing.Go(func() {
-			got, err := peer.Call[legacy, accepted](ctx, r.daemon.peers, host.Peer, peer.KindLegacy, out)
-			if err != nil || !got.OK {
+		calls.Go(func() {
+			reply, err := peer.Call[keyTransfer, transferReply](ctx, r.daemon.peers, host.Peer, peer.KindLegacy, transfer)
+			if err != nil || !reply.OK {
 				r.daemon.log.WithField("to", host.Host).Warn("idempotency keys not passed on")
 			}
 		})
 	}
-	passing.Wait()
+	calls.Wait()
 }
--- a/internal/app/daemon/operators.go
+++ b/internal/app/daemon/operators.go
@@ -51,9 +51,9 @@
 	switch {
 	case d.leaving.Load():
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
-	case !d.takes(time.Now()):
-		http.Error(w, "lists not confirmed as current: "+d.standing.Load().String(), http.StatusServiceUnavailable)
-	case !d.rates.ready.Load():
+	case !d.acceptsCallers(time.Now()):
+		http.Error(w, "lists not confirmed as current: "+d.servingState.Load().String(), http.StatusServiceUnavailable)
+	case !d.rateLimiter.ready.Load():
 		http.Error(w, "no rates yet", http.StatusServiceUnavailable)
 	case !d.serving.Load():
 		http.Error(w, "starting", http.StatusServiceUnavailable)
@@ -76,15 +76,15 @@
 	traffic := d.peers.Traffic()
 	s := Status{
 		Host: d.settings.Host, Service: d.settings.Service, Zone: d.settings.Zone,
-		Ready: d.takes(time.Now()) && d.rates.ready.Load(), Standing: d.standing.Load().String(), Leaving: d.leaving.Load(), InFlight: d.inFlight.total.Load(),
-		Gate:  d.owner.gate.Load(),
+		Ready: d.acceptsCallers(time.Now()) && d.rateLimiter.ready.Load(), Standing: d.servingState.Load().String(), Leaving: d.leaving.Load(), InFlight: d.inFlight.total.Load(),
+		Gate:  d.executor.gate.Load(),
 		Lists: map[string]ListStatus{}, Connections: d.peers.Connections(),
-		SentBytes: traffic.Sent, GotBytes: traffic.Received, Messages: messages(traffic), Reads: d.control.platform.Reads(),
+		SentBytes: traffic.Sent, GotBytes: traffic.Received, Messages: messageBytes(traffic), Reads: d.control.platform.Reads(),
 	}
 	s.SaidLeaving, s.Suspects = d.members.Load().Counts()
-	d.control.ask(func() {
-		s.Rates = d.rates.status(time.Now())
-		s.Reader = d.control.reader != nil
+	d.control.do(func() {
+		s.Rates = d.rateLimiter.status(time.Now())
+		s.Reader = d.control.stopReading != nil
 		for k := range lists.Kinds {
 			s.Lists[lists.Kind(k).String()] = d.control.listStatus(lists.Kind(k))
 		}
@@ -92,7 +92,7 @@
 	return s
 }
 
-func messages(t peer.Traffic) map[string]peer.Bytes {
+func messageBytes(t peer.Traffic) map[string]peer.Bytes {
 	all := map[string]peer.Bytes{}
 	for k, bytes := range t.ByKind {
 		if k > 0 && bytes != (peer.Bytes{}) {
--- a/internal/app/daemon/owner.go
+++ b/internal/app/daemon/owner.go
@@ -13,52 +13,52 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// owner runs requests on the upstream beside the daemon, as many at once as its gate lets through.
-type owner struct {
+// executor runs requests on the upstream beside the daemon, as many at once as its gate lets through.
+type executor struct {
 	gate     *admission.Gate
 	upstream *upstream.Client
-	chains   *chains
-	// below is what the upstream's own calls need for each operation.
-	below *budget.Needs
+	runs     *activeRuns
+	// subCallNeeds is what the upstream's own calls need for each operation.
+	subCallNeeds *budget.Needs
 }
 
-func newOwner(s settings.Settings, u *upstream.Client) *owner {
+func newExecutor(s settings.Settings, u *upstream.Client) *executor {
 	gate := admission.New(
 		limit.New(s.Limit, s.Slots),
 		admission.WithQueue(queue.New[*admission.Ticket](s.Queue)),
 		admission.WithWait(s.QueueTime),
 		admission.WithLength(s.QueueLength),
 	)
-	return &owner{gate: gate, upstream: u, chains: newChains(), below: budget.NewNeeds()}
+	return &executor{gate: gate, upstream: u, runs: newActiveRuns(), subCallNeeds: budget.NewNeeds()}
 }
 
 // run runs the request, or refuses it before the upstream has seen it. After a
 // wait it asks still whether the request may still run; nil means that it may.
-func (o *owner) run(ctx context.Context, r *call.Request, still func() bool) call.Answer {
+func (o *executor) run(ctx context.Context, r *call.Request, keyValid func() bool) call.Answer {
 	t := &admission.Ticket{
 		Organisation: r.Organisation, Operation: r.Operation, Weight: r.Weight, Priority: r.Priority,
-		Deadline: r.Deadline.Add(-toTell(r.Remaining(time.Now()))),
+		Deadline: r.Deadline.Add(-refusalTime(r.Remaining(time.Now()))),
 	}
 	if d := o.gate.Enter(ctx, t); d.Verdict != admission.Run {
-		return o.refused(r, d)
+		return o.refuse(r, d)
 	}
-	if still != nil && !still() {
+	if keyValid != nil && !keyValid() {
 		o.gate.Settle(time.Now(), t, admission.Result{Withdrawn: true})
-		return o.refused(r, admission.Decision{Reason: call.UnknownKey})
+		return o.refuse(r, admission.Decision{Reason: call.UnknownKey})
 	}
 	return o.execute(ctx, r, t)
 }
 
-const tellTime = 20 * time.Millisecond
+const maxRefusalTime = 20 * time.Millisecond
 
-// toTell returns the time that a refusal from the queue needs to be heard before the request's time is up.
+// refusalTime returns the time that a refusal from the queue needs to be heard before the request's time is up.
 //
 // On busy hosts, where requests wait, threads do so too. A booking that left
 // the queue in its last milliseconds would be called unknown by the daemon that
 // handed it on, and its caller sent to look for something that never ran.
-func toTell(left time.Duration) time.Duration { return setAside(left, tellTime) }
+func refusalTime(remaining time.Duration) time.Duration { return reserve(remaining, maxRefusalTime) }
 
-func (o *owner) refused(r *call.Request, d admission.Decision) call.Answer {
+func (o *executor) refuse(r *call.Request, d admission.Decision) call.Answer {
 	answer := call.Refuse(d.Reason, d.RetryAfter)
 	answer.BudgetLeft = r.Budget
 	answer.Load = o.gate.Load()
@@ -66,32 +66,32 @@
 }
 
 // execute runs an admitted request; the gate is settled however it ends.
-func (o *owner) execute(ctx context.Context, r *call.Request, t *admission.Ticket) call.Answer {
-	given := r.Budget - 1
-	account := budget.NewFor(given, o.below.Expect(r.Operation, r.Depth+1))
-	token, origin := o.chains.open(r, account)
-	begun := time.Now()
+func (o *executor) execute(ctx context.Context, r *call.Request, t *admission.Ticket) call.Answer {
+	granted := r.Budget - 1
+	account := budget.NewFor(granted, o.subCallNeeds.Expect(r.Operation, r.Depth+1))
+	token, run := o.runs.add(r, account)
+	started := time.Now()
 	answer := o.upstream.Do(ctx, r, token)
-	o.chains.shut(token)
+	o.runs.remove(token)
 	now := time.Now()
-	waited, deeper := origin.waited(now)
-	o.gate.Settle(now, t, result(answer, max(now.Sub(begun)-waited, 0)))
+	waited, subCallPressure := run.waited(now)
+	o.gate.Settle(now, t, gateResult(answer, max(now.Sub(started)-waited, 0)))
 	left := account.Close()
 	if answer.Outcome == call.Whole {
-		o.below.Learn(r.Operation, given, given-left, answer.Status < statusFault)
+		o.subCallNeeds.Learn(r.Operation, granted, granted-left, answer.Status < minFaultStatus)
 	}
-	answer = credible(r, answer, left)
+	answer = checkNotRun(r, answer, left)
 	answer.Load = o.gate.Load()
-	if answer.Status >= statusFault {
-		answer.Load.Pressure = deeper
+	if answer.Status >= minFaultStatus {
+		answer.Load.Pressure = subCallPressure
 	}
 	return answer
 }
 
-// result tells the gate how a run ended. A caller that hung up, or an upstream
+// gateResult tells the gate how a run ended. A caller that hung up, or an upstream
 // that could not be reached, says nothing about how much the upstream can run.
-func result(a call.Answer, own time.Duration) admission.Result {
-	r := admission.Result{Own: own}
+func gateResult(a call.Answer, ownTime time.Duration) admission.Result {
+	r := admission.Result{Own: ownTime}
 	switch {
 	case a.Reason == call.UpstreamShed:
 		r.Shed = true
@@ -101,10 +101,10 @@
 	return r
 }
 
-// credible checks an upstream's word that it did not run a request against what
+// checkNotRun checks an upstream's word that it did not run a request against what
 // the request's own calls have spent. An upstream that passes on the refusal of a
 // later call, after an earlier one ran, would have the caller pay twice.
-func credible(r *call.Request, a call.Answer, left int) call.Answer {
+func checkNotRun(r *call.Request, a call.Answer, left int) call.Answer {
 	given := r.Budget - 1
 	if a.Outcome == call.NotRun && left < given {
 		a = call.Lose(call.AnswerLost)
--- a/internal/app/daemon/owner_test.go
+++ b/internal/app/daemon/owner_test.go
@@ -17,12 +17,12 @@
 
 // A key is withdrawn while a request of its organisation waits for a slot. The
 // request would otherwise run for someone who is no longer a customer.
-func TestWithdrawnWhileWaiting(t *testing.T) {
+func TestKeyWithdrawnWhileQueued(t *testing.T) {
 	Convey("A request whose key has gone leaves the queue unrun, and its slot goes to the next", t, func() {
 		s := settings.Default()
 		s.Slots = 1
 		s.QueueTime = time.Minute
-		o := newOwner(s, upstream.New(netip.MustParseAddrPort("127.0.0.1:1")))
+		o := newExecutor(s, upstream.New(netip.MustParseAddrPort("127.0.0.1:1")))
 		holds := &admission.Ticket{Organisation: "other", Operation: "op", Deadline: time.Now().Add(time.Minute)}
 		So(o.gate.Arrive(time.Now(), holds).Verdict, ShouldEqual, admission.Run)
 		answered := make(chan call.Answer)
@@ -44,13 +44,13 @@
 
 // A booking waits in the queue until its time is nearly up. Told in the last instant, the daemon that handed
 // it on would have given up on the answer, and called a booking unknown that never ran.
-func TestRefusedWhileTheCallerStillListens(t *testing.T) {
+func TestQueueRefusalBeforeTheDeadline(t *testing.T) {
 	cases := []struct {
 		timeout, left time.Duration
 	}{
 		{50 * time.Millisecond, 5 * time.Millisecond},
-		{time.Second, tellTime},
-		{10 * time.Second, tellTime},
+		{time.Second, maxRefusalTime},
+		{10 * time.Second, maxRefusalTime},
 	}
 	for _, c := range cases {
 		Convey("With a timeout of "+c.timeout.String(), t, func() {
@@ -58,7 +58,7 @@
 				s := settings.Default()
 				s.Slots = 1
 				s.QueueTime = time.Minute
-				o := newOwner(s, upstream.New(netip.MustParseAddrPort("127.0.0.1:1")))
+				o := newExecutor(s, upstream.New(netip.MustParseAddrPort("127.0.0.1:1")))
 				holds := &admission.Ticket{Organisation: "other", Operation: "op", Deadline: time.Now().Add(time.Hour)}
 				o.gate.Arrive(time.Now(), holds)
 				r := &call.Request{Organisation: "dealer", Operation: "op", Deadline: time.Now().Add(c.timeout), Budget: 4}
--- a/internal/app/daemon/path.go
+++ b/internal/app/daemon/path.go
@@ -11,8 +11,8 @@
 	service string
 	// path is unescaped, for finding the operation.
 	path string
-	// sent is as the caller wrote it, with the query, for the upstream.
-	sent string
+	// requestURI is as the caller wrote it, with the query, for the upstream.
+	requestURI string
 }
 
 // locate cuts /service/path; false means that the path has empty or dot
@@ -20,20 +20,20 @@
 // allowed operation ends at another.
 func locate(u *url.URL) (target, bool) {
 	service, rest, _ := strings.Cut(strings.TrimPrefix(u.EscapedPath(), "/"), "/")
-	to := target{service: service, path: "/" + rest, sent: "/" + rest}
-	path, err := url.PathUnescape(to.path)
-	if err != nil || unclean(path) {
-		return to, false
+	dest := target{service: service, path: "/" + rest, requestURI: "/" + rest}
+	path, err := url.PathUnescape(dest.path)
+	if err != nil || hasUncleanSegments(path) {
+		return dest, false
 	}
-	to.path = path
+	dest.path = path
 	if u.RawQuery != "" {
-		to.sent += "?" + u.RawQuery
+		dest.requestURI += "?" + u.RawQuery
 	}
-	return to, true
+	return dest, true
 }
 
-// unclean reports whether a path that begins with a slash has empty or dot segments, but for a slash at its end.
-func unclean(path string) bool {
+// hasUncleanSegments reports whether a path that begins with a slash has empty or dot segments, but for a slash at its end.
+func hasUncleanSegments(path string) bool {
 	inner := strings.TrimSuffix(strings.TrimPrefix(path, "/"), "/")
 	if inner == "" {
 		return path != "/"
--- a/internal/app/daemon/path_test.go
+++ b/internal/app/daemon/path_test.go
@@ -11,7 +11,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-func TestPathThatTheUpstreamSees(t *testing.T) {
+func TestForwardedPath(t *testing.T) {
 	// A caller's path has escaped characters or dot segments. Unescaped on the
 	// way, it means another resource to the upstream than to the caller; and dot
 	// segments that the upstream resolves lead from an operation that the plan
--- a/internal/app/daemon/pressure_test.go
+++ b/internal/app/daemon/pressure_test.go
@@ -22,13 +22,13 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// loneDaemon serves one upstream, and is the only host of its service.
-func loneDaemon(address netip.AddrPort) *Daemon {
+// singleHostDaemon serves one upstream, and is the only host of its service.
+func singleHostDaemon(address netip.AddrPort) *Daemon {
 	s := settings.Default()
 	s.Host, s.Service, s.Zone = "h", "lookup", "a"
 	d := &Daemon{
 		settings: s, log: telemetry.NewLog(io.Discard, s.LogLevel), placer: placing.New("a"),
-		needs: budget.NewNeeds(), doors: pressure.New(), owner: newOwner(s, upstream.New(address)),
+		needs: budget.NewNeeds(), throttles: pressure.New(), executor: newExecutor(s, upstream.New(address)),
 	}
 	hosts := &lists.Hosts{Hosts: []lists.Host{{Host: "h", Service: "lookup", Zone: "a"}}}
 	d.view.Store(lists.NewView([lists.Kinds]uint64{1, 1, 1, 1}, nil, nil, nil, hosts))
@@ -39,12 +39,12 @@
 // A service calls a deeper one that refuses for overload, and answers 502. The
 // door must learn of it, or it goes on to let in work that is done at each hop
 // and fails at the last.
-func TestPressureReachesTheDoor(t *testing.T) {
+func TestPressureReachesTheThrottle(t *testing.T) {
 	cases := []struct {
-		name     string
-		status   int
-		pressure float64
-		doors    int
+		name      string
+		status    int
+		pressure  float64
+		throttles int
 	}{
 		{"a failure for overload further down closes the door", http.StatusBadGateway, 1, 1},
 		{"a failure without overload does not", http.StatusBadGateway, 0, 0},
@@ -54,15 +54,15 @@
 		Convey(c.name, t, func() {
 			var d *Daemon
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				o, ok := d.owner.chains.find(r.Header.Get(upstream.HeaderToken))
+				o, ok := d.executor.runs.find(r.Header.Get(upstream.HeaderToken))
 				if ok {
-					o.enter(time.Now())
-					o.exit(time.Now(), c.pressure)
+					o.callStarted(time.Now())
+					o.callEnded(time.Now(), c.pressure)
 				}
 				w.WriteHeader(c.status)
 			}))
 			defer server.Close()
-			d = loneDaemon(netip.MustParseAddrPort(server.Listener.Addr().String()))
+			d = singleHostDaemon(netip.MustParseAddrPort(server.Listener.Addr().String()))
 			a := admitted{account: budget.New(4), request: call.Request{
 				ID: "r1", Organisation: "dealer", Operation: "lookup.find", Service: "lookup", Method: http.MethodPost, Path: "/",
 				Header: http.Header{}, Deadline: time.Now().Add(time.Minute), Priority: call.Interactive,
@@ -71,7 +71,7 @@
 			So(answer.Outcome, ShouldEqual, call.Whole)
 			So(answer.Status, ShouldEqual, c.status)
 			So(answer.BudgetLeft, ShouldEqual, 3)
-			So(d.doors.Len(), ShouldEqual, c.doors)
+			So(d.throttles.Len(), ShouldEqual, c.throttles)
 		})
 	}
 }
--- a/internal/app/daemon/rates.go
+++ b/internal/app/daemon/rates.go
@@ -14,21 +14,21 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// rates joins the fleet's rates to the sockets. The home belongs to the
+// rateLimiter joins the fleet's rateLimiter to the sockets. The home belongs to the
 // control thread; traffic spends from the borrower.
-type rates struct {
+type rateLimiter struct {
 	daemon   *Daemon
 	home     *rate.Home
 	borrower *rate.Borrower
 	self     rate.Member
-	seeks    seeks
-	// lend asks a home for tokens and returns the time until it has one.
-	lend     func(context.Context, rate.Ask) time.Duration
-	asked    atomic.Uint64
-	waits    atomic.Uint64
-	back     atomic.Uint64
-	mayLend  atomic.Bool
-	complete time.Time
+	searches tokenSearches
+	// requestTokens asks a home for tokens and returns the time until it has one.
+	requestTokens func(context.Context, rate.Ask) time.Duration
+	leaseRequests atomic.Uint64
+	waits         atomic.Uint64
+	returned      atomic.Uint64
+	mayLend       atomic.Bool
+	listsComplete time.Time
 	// configured are the versions of the lists that were taken over.
 	configured [2]uint64
 	ready      atomic.Bool
@@ -36,60 +36,60 @@
 	done       chan struct{}
 }
 
-func newRates(d *Daemon) *rates {
+func newRateLimiter(d *Daemon) *rateLimiter {
 	now := time.Now()
 	incarnation := uint64(now.UnixNano())
 	limits := d.settings.Limits()
 	self := rate.Member{Host: d.settings.Host, Peer: d.settings.Advertise}
 	borrower := rate.NewBorrower(self.Host+"@"+self.Peer.String(), incarnation, limits)
 	borrower.SetOwn(self)
-	r := &rates{
+	r := &rateLimiter{
 		daemon: d, self: self,
 		home:     rate.NewHome(self, incarnation, limits, now),
 		borrower: borrower,
-		seeks:    newSeeks(),
+		searches: newTokenSearches(),
 		done:     make(chan struct{}),
 	}
-	r.lend = r.lease
+	r.requestTokens = r.requestLease
 	return r
 }
 
-func (r *rates) handle(n *peer.Node) {
-	peer.Handle(n, peer.KindLease, r.takeLease)
-	peer.Handle(n, peer.KindConfirm, r.takeConfirm)
-	peer.Handle(n, peer.KindHandover, r.takeConfirm)
+func (r *rateLimiter) registerHandlers(n *peer.Node) {
+	peer.Handle(n, peer.KindLease, r.handleLease)
+	peer.Handle(n, peer.KindConfirm, r.handleConfirm)
+	peer.Handle(n, peer.KindHandover, r.handleConfirm)
 }
 
 // configure takes over a new view; it runs on the control thread.
-func (r *rates) configure(view *lists.View) {
+func (r *rateLimiter) configure(view *lists.View) {
 	now := time.Now()
-	versions := configuredBy(view)
-	before := r.configured
+	versions := rateVersions(view)
+	previous := r.configured
 	r.configured = versions
-	if versions[0] != before[0] {
+	if versions[0] != previous[0] {
 		r.setHosts(view, now)
 	}
-	if versions[1] != before[1] {
+	if versions[1] != previous[1] {
 		r.setPlans(view, now)
 	}
-	if view.Complete() && r.complete.IsZero() {
-		r.complete = now
+	if view.Complete() && r.listsComplete.IsZero() {
+		r.listsComplete = now
 	}
 }
 
-// configuredBy returns the versions of the lists that rates depend on. Keys and uses
+// rateVersions returns the versions of the lists that rates depend on. Keys and uses
 // change without the rates of all organisations being gone through again.
-func configuredBy(view *lists.View) [2]uint64 {
+func rateVersions(view *lists.View) [2]uint64 {
 	return [2]uint64{view.Version(lists.KindHosts), view.Version(lists.KindPlans)}
 }
 
-func (r *rates) setHosts(view *lists.View, now time.Time) {
+func (r *rateLimiter) setHosts(view *lists.View, now time.Time) {
 	members := rate.Members(view.Hosts())
 	r.home.SetList(view.Version(lists.KindHosts), members, now)
 	r.borrower.SetList(view.Version(lists.KindHosts), members)
 }
 
-func (r *rates) setPlans(view *lists.View, now time.Time) {
+func (r *rateLimiter) setPlans(view *lists.View, now time.Time) {
 	organisations := view.Organisations()
 	r.home.SetPlans(organisations, now)
 	r.borrower.SetPlans(organisations)
@@ -97,29 +97,29 @@
 
 // Times of the questions between daemons.
 const (
-	// confirmEvery is the time between two questions to members while there are some to ask.
-	confirmEvery = 20 * time.Millisecond
-	// confirmBound is how long an answer about membership is waited for; it counts from when it was asked.
-	confirmBound = 2 * time.Second
-	// askBound is how long one home may take while a request waits: a round trip to
+	// confirmInterval is the time between two questions to members while there are some to ask.
+	confirmInterval = 20 * time.Millisecond
+	// confirmTimeout is how long an answer about membership is waited for; it counts from when it was asked.
+	confirmTimeout = 2 * time.Second
+	// leaseTimeout is how long one home may take while a request waits: a round trip to
 	// another region, but not a home that hangs, while others have tokens.
-	askBound = 50 * time.Millisecond
+	leaseTimeout = 50 * time.Millisecond
 )
 
-func (r *rates) start() {
+func (r *rateLimiter) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
 	go r.run(ctx)
 }
 
-func (r *rates) stop() {
+func (r *rateLimiter) stop() {
 	r.cancel()
 	<-r.done
 }
 
-func (r *rates) run(ctx context.Context) {
+func (r *rateLimiter) run(ctx context.Context) {
 	defer close(r.done)
-	ticker := time.NewTicker(confirmEvery)
+	ticker := time.NewTicker(confirmInterval)
 	defer ticker.Stop()
 	var prefetched time.Time
 	for {
@@ -128,55 +128,55 @@
 			return
 		case <-ticker.C:
 		}
-		next := rate.TickEvery
+		interval := rate.TickEvery
 		if r.confirmNext(ctx) {
-			next = confirmEvery
+			interval = confirmInterval
 		}
-		ticker.Reset(next)
-		if now := time.Now(); next == rate.TickEvery || now.Sub(prefetched) >= rate.TickEvery {
+		ticker.Reset(interval)
+		if now := time.Now(); interval == rate.TickEvery || now.Sub(prefetched) >= rate.TickEvery {
 			prefetched = now
 			r.tick(ctx)
 		}
 	}
 }
 
-func (r *rates) tick(ctx context.Context) {
+func (r *rateLimiter) tick(ctx context.Context) {
 	for _, ask := range r.borrower.Tick(time.Now()) {
-		go r.lease(ctx, ask)
+		go r.requestLease(ctx, ask)
 	}
-	r.daemon.control.ask(func() {
+	r.daemon.control.do(func() {
 		now := time.Now()
 		r.home.Tick(now)
-		r.look(now)
+		r.updateStatus(now)
 	})
 }
 
-// readyBound is how long a daemon waits for its own part of the rates before it
+// readyTimeout is how long a daemon waits for its own part of the rates before it
 // takes callers all the same: other homes may have tokens for it.
-const readyBound = 3 * time.Second
+const readyTimeout = 3 * time.Second
 
-func (r *rates) look(now time.Time) {
+func (r *rateLimiter) updateStatus(now time.Time) {
 	status := r.home.Status(now)
 	if was := r.mayLend.Swap(status.MayLend); was != status.MayLend {
 		r.daemon.log.WithFields(logrus.Fields{"mayLend": status.MayLend, "hostsVersion": status.Version, "members": status.Members}).Info("rates")
 	}
-	if !r.complete.IsZero() && (!status.Listed || status.MayLend && status.Settled || now.Sub(r.complete) >= readyBound) {
+	if !r.listsComplete.IsZero() && (!status.Listed || status.MayLend && status.Settled || now.Sub(r.listsComplete) >= readyTimeout) {
 		r.ready.Store(true)
 	}
 	scope := r.daemon.metrics.Scope
 	scope.Gauge(telemetry.RateShards).Update(float64(status.Shards))
 	scope.Gauge(telemetry.RateTokensOut).Update(float64(status.Lent))
 	scope.Gauge(telemetry.RateTokensLent).Update(float64(status.Tokens))
-	scope.Gauge(telemetry.RateAsks).Update(float64(r.asked.Load()))
+	scope.Gauge(telemetry.RateAsks).Update(float64(r.leaseRequests.Load()))
 }
 
 // confirmNext asks the next member what it knows of membership, and reports whether there was one to ask.
-func (r *rates) confirmNext(ctx context.Context) bool {
+func (r *rateLimiter) confirmNext(ctx context.Context) bool {
 	var to rate.Member
 	var ask rate.Statement
 	due := false
 	asked := time.Now()
-	r.daemon.control.ask(func() {
+	r.daemon.control.do(func() {
 		if to, due = r.home.NextAsk(asked); due {
 			ask = r.home.Statement(asked)
 		}
@@ -187,35 +187,35 @@
 	return due
 }
 
-func (r *rates) confirm(ctx context.Context, to rate.Member, ask rate.Statement, asked time.Time) {
-	ctx, cancel := context.WithTimeout(ctx, confirmBound)
+func (r *rateLimiter) confirm(ctx context.Context, to rate.Member, ask rate.Statement, asked time.Time) {
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	answer, err := peer.Call[rate.Statement, rate.Statement](ctx, r.daemon.peers, to.Peer, peer.KindConfirm, ask)
 	if err != nil || answer.From != to {
 		return
 	}
-	r.daemon.control.ask(func() { r.home.Hear(answer, asked, time.Now()) })
+	r.daemon.control.do(func() { r.home.Hear(answer, asked, time.Now()) })
 }
 
-func (r *rates) takeConfirm(_ context.Context, _ netip.AddrPort, ask rate.Statement) rate.Statement {
+func (r *rateLimiter) handleConfirm(_ context.Context, _ netip.AddrPort, ask rate.Statement) rate.Statement {
 	var answer rate.Statement
-	r.daemon.control.ask(func() { answer = r.home.AnswerStatement(ask, time.Now()) })
+	r.daemon.control.do(func() { answer = r.home.AnswerStatement(ask, time.Now()) })
 	return answer
 }
 
-func (r *rates) takeLease(_ context.Context, _ netip.AddrPort, ask rate.LeaseAsk) rate.LeaseReply {
+func (r *rateLimiter) handleLease(_ context.Context, _ netip.AddrPort, ask rate.LeaseAsk) rate.LeaseReply {
 	var reply rate.LeaseReply
-	r.daemon.control.ask(func() { reply = r.home.AnswerLease(ask, time.Now()) })
+	r.daemon.control.do(func() { reply = r.home.AnswerLease(ask, time.Now()) })
 	return reply
 }
 
-// lease asks a home, takes its answer over and returns the time until it has a token.
-func (r *rates) lease(ctx context.Context, ask rate.Ask) time.Duration {
-	ctx, cancel := context.WithTimeout(ctx, askBound)
+// requestLease asks a home, takes its answer over and returns the time until it has a token.
+func (r *rateLimiter) requestLease(ctx context.Context, ask rate.Ask) time.Duration {
+	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
 	asked := time.Now()
 	if ask.Home == r.self {
-		return r.borrower.Hear(ask.Home, r.takeLease(ctx, netip.AddrPort{}, ask.Message), asked, time.Now())
+		return r.borrower.Hear(ask.Home, r.handleLease(ctx, netip.AddrPort{}, ask.Message), asked, time.Now())
 	}
 	// Homes in a region that is away would be asked one after the other by each search, until no time is
 	// left for those that can answer; and nobody else may notice that they are away.
@@ -223,52 +223,52 @@
 		r.borrower.Lost(ask, asked)
 		return rate.UnsettledWait
 	}
-	r.asked.Add(1)
+	r.leaseRequests.Add(1)
 	reply, err := peer.Call[rate.LeaseAsk, rate.LeaseReply](ctx, r.daemon.peers, ask.Home.Peer, peer.KindLease, ask.Message)
 	if err != nil {
 		r.borrower.Lost(ask, time.Now())
-		r.daemon.raise(doubt{host: ask.Home.Host})
+		r.daemon.reportFailure(hostFailure{host: ask.Home.Host})
 		return rate.UnsettledWait
 	}
 	return r.borrower.Hear(ask.Home, reply, asked, time.Now())
 }
 
-// ceaseBound is how long a leaving daemon tries to tell the others.
-const ceaseBound = 500 * time.Millisecond
+// handoverTimeout is how long a leaving daemon tries to tell the others.
+const handoverTimeout = 500 * time.Millisecond
 
-// cease gives this daemon's shards up and says so to the others, so that they
+// handOverShards gives this daemon's shards up and says so to the others, so that they
 // need not wait for the fence. A message that is lost costs time, no safety.
-func (r *rates) cease() {
+func (r *rateLimiter) handOverShards() {
 	var others []rate.Member
 	var last rate.Statement
-	r.daemon.control.ask(func() {
+	r.daemon.control.do(func() {
 		now := time.Now()
 		others = r.home.Cease(now)
 		last = r.home.Statement(now)
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), ceaseBound)
+	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
-	told := make(chan bool, len(others))
-	slots := make(chan struct{}, ceaseAtOnce)
+	results := make(chan bool, len(others))
+	semaphore := make(chan struct{}, maxHandovers)
 	for _, to := range others {
 		go func() {
-			slots <- struct{}{}
+			semaphore <- struct{}{}
 			_, err := peer.Call[rate.Statement, rate.Statement](ctx, r.daemon.peers, to.Peer, peer.KindHandover, last)
-			<-slots
-			told <- err == nil
+			<-semaphore
+			results <- err == nil
 		}()
 	}
 	count := 0
 	for range others {
-		if <-told {
+		if <-results {
 			count++
 		}
 	}
 	r.daemon.log.WithFields(logrus.Fields{"told": count, "of": len(others)}).Info("shards handed over")
 }
 
-// ceaseAtOnce bounds the calls in flight of a leaving daemon.
-const ceaseAtOnce = 16
+// maxHandovers bounds the calls in flight of a leaving daemon.
+const maxHandovers = 16
 
 // RateStatus is what /statusz tells of the rates; times are RFC 3339, empty where there is none.
 type RateStatus struct {
@@ -288,18 +288,18 @@
 }
 
 // status runs on the control thread.
-func (r *rates) status(now time.Time) RateStatus {
+func (r *rateLimiter) status(now time.Time) RateStatus {
 	s := r.home.Status(now)
-	_, here := r.borrower.Purses(now)
+	_, cached := r.borrower.Purses(now)
 	return RateStatus{
 		MayLend: s.MayLend, HostsVersion: s.Version, Members: s.Members, Organisations: s.Organisations, Shards: s.Shards,
-		TokensOut: s.Lent, TokensLent: s.Tokens, TokensHere: here, Asks: r.asked.Load(),
-		Waits: r.waits.Load(), GivenBack: r.back.Load(),
-		LendsUntil: timeText(s.LendsUntil), FencedUntil: timeText(s.FencedUntil),
+		TokensOut: s.Lent, TokensLent: s.Tokens, TokensHere: cached, Asks: r.leaseRequests.Load(),
+		Waits: r.waits.Load(), GivenBack: r.returned.Load(),
+		LendsUntil: formatTime(s.LendsUntil), FencedUntil: formatTime(s.FencedUntil),
 	}
 }
 
-func timeText(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return ""
 	}
--- a/internal/app/daemon/rates_test.go
+++ b/internal/app/daemon/rates_test.go
@@ -15,34 +15,34 @@
 // Two of three regions are away, and with them the homes of two thirds of an organisation's shards. Asked one
 // after the other by each search for a token, they would take the time in which the homes that are left could answer,
 // and a connection attempt each.
-func TestHomesThatCannotBeReached(t *testing.T) {
+func TestUnreachableHomes(t *testing.T) {
 	away := rate.Member{Host: "away", Peer: loopback.Address()}
 	start := func() *Daemon {
-		d := awayDaemon(away.Peer)
-		d.rates = newRates(d)
-		d.rates.borrower.SetList(1, []rate.Member{away})
-		d.rates.borrower.SetPlans([]lists.Organisation{{Organisation: "dealer", Rate: 100, Burst: 100}})
+		d := unreachableHolderDaemon(away.Peer)
+		d.rateLimiter = newRateLimiter(d)
+		d.rateLimiter.borrower.SetList(1, []rate.Member{away})
+		d.rateLimiter.borrower.SetPlans([]lists.Organisation{{Organisation: "dealer", Rate: 100, Burst: 100}})
 		return d
 	}
 	ask := func(d *Daemon) time.Duration {
-		q, ok := d.rates.borrower.Urgent("dealer", away, 1, rate.Waiting, time.Now())
+		q, ok := d.rateLimiter.borrower.Urgent("dealer", away, 1, rate.Waiting, time.Now())
 		So(ok, ShouldBeTrue)
-		return d.rates.lease(context.Background(), q)
+		return d.rateLimiter.requestLease(context.Background(), q)
 	}
 	Convey("A home that does not answer raises a doubt", t, func() {
 		d := start()
 		So(d.peers.Start(), ShouldBeNil)
 		defer d.peers.Stop()
 		So(ask(d), ShouldEqual, rate.UnsettledWait)
-		So(d.rates.asked.Load(), ShouldEqual, 1)
-		So(len(d.control.doubts), ShouldEqual, 1)
+		So(d.rateLimiter.leaseRequests.Load(), ShouldEqual, 1)
+		So(len(d.control.failures), ShouldEqual, 1)
 	})
 	Convey("A suspect is not asked, and passed over for a while like one that did not answer", t, func() {
 		d := start()
-		d.members.Store(suspecting(d, time.Now()))
+		d.members.Store(suspectView(d, time.Now()))
 		So(ask(d), ShouldEqual, rate.UnsettledWait)
-		So(d.rates.asked.Load(), ShouldEqual, 0)
-		_, again := d.rates.borrower.Urgent("dealer", away, 1, rate.Waiting, time.Now())
-		So(again, ShouldBeFalse)
+		So(d.rateLimiter.leaseRequests.Load(), ShouldEqual, 0)
+		_, ok := d.rateLimiter.borrower.Urgent("dealer", away, 1, rate.Waiting, time.Now())
+		So(ok, ShouldBeFalse)
 	})
 }
--- a/internal/app/daemon/reading.go
+++ b/internal/app/daemon/reading.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	retryLeast  = 200 * time.Millisecond
-	retrySpread = 800 * time.Millisecond
-	// glance is the wait of a read that only asks whether there is something newer.
-	glance = time.Millisecond
+	minRetryDelay  = 200 * time.Millisecond
+	maxRetryJitter = 800 * time.Millisecond
+	// versionCheckWait is the wait of a read that only asks whether there is something newer.
+	versionCheckWait = time.Millisecond
 )
 
-// follow starts or ends the watches as this daemon becomes one of its zone's readers or stops being one.
-func (c *control) follow() {
-	should := c.core.Reads(c.unusable)
-	if should == (c.reader != nil) {
+// updateWatches starts or ends the watches as this daemon becomes one of its zone's readers or stops being one.
+func (c *control) updateWatches() {
+	isReader := c.core.Reads(c.unusable)
+	if isReader == (c.stopReading != nil) {
 		return
 	}
-	c.daemon.log.WithField("reader", should).Info("platform")
-	if !should {
-		c.reader()
-		c.reader = nil
+	c.daemon.log.WithField("reader", isReader).Info("platform")
+	if !isReader {
+		c.stopReading()
+		c.stopReading = nil
 		return
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
-	c.reader = cancel
+	c.stopReading = cancel
 	for k := range lists.Kinds {
 		kind := lists.Kind(k)
 		after := max(c.set.Value(kind).Version, c.set.Rejection(kind).Version)
@@ -45,27 +45,27 @@
 // waits a random time, so that the end of an outage starts no stampede.
 func (c *control) watch(ctx context.Context, kind lists.Kind, after uint64) {
 	for ctx.Err() == nil {
-		begun := time.Now()
+		started := time.Now()
 		v, err := c.platform.Watch(ctx, kind, after, c.daemon.settings.Watch)
 		answered := err == nil || errors.Is(err, platform.ErrUnchanged)
 		if !answered {
 			c.daemon.log.WithError(err).Debug("platform")
-			sleep(ctx, retryLeast+rand.N(retrySpread))
+			sleep(ctx, minRetryDelay+rand.N(maxRetryJitter))
 			continue
 		}
 		after = max(after, v.Version)
-		c.ask(func() {
-			c.core.PlatformAnswered(begun, time.Now(), false)
+		c.do(func() {
+			c.core.PlatformAnswered(started, time.Now(), false)
 			if err == nil {
-				c.offer(v)
+				c.apply(v)
 			}
 		})
 	}
 }
 
-// read asks the platform for the hosts list or every list once. A list that this daemon has no
+// readLists asks the platform for the hosts list or every list once. A list that this daemon has no
 // version of is waited for, so that a platform without lists isn't polled.
-func (c *control) read(what spread.Read, begun time.Time) {
+func (c *control) readLists(what spread.Read, started time.Time) {
 	if c.reading {
 		return
 	}
@@ -79,7 +79,7 @@
 		var failures sync.Map
 		for k := first; int(k) < lists.Kinds; k++ {
 			all.Go(func() {
-				if err := c.readOne(k); err != nil {
+				if err := c.readList(k); err != nil {
 					failures.Store(k, err)
 				}
 			})
@@ -91,28 +91,28 @@
 			c.daemon.log.WithError(err.(error)).Debug("platform")
 			return false
 		})
-		c.ask(func() {
+		c.do(func() {
 			c.reading = false
 			if !failed {
 				now := time.Now()
-				c.core.PlatformAnswered(begun, now, what == spread.ReadAll)
-				c.show(now)
+				c.core.PlatformAnswered(started, now, what == spread.ReadAll)
+				c.publishState(now)
 			}
 		})
 	})
 }
 
-func (c *control) readOne(kind lists.Kind) error {
+func (c *control) readList(kind lists.Kind) error {
 	var after uint64
-	c.ask(func() { after = c.set.Value(kind).Version })
-	wait := glance
+	c.do(func() { after = c.set.Value(kind).Version })
+	wait := versionCheckWait
 	if after == 0 {
 		wait = c.daemon.settings.Watch
 	}
 	v, err := c.platform.Watch(c.ctx, kind, after, wait)
 	switch {
 	case err == nil:
-		c.ask(func() { c.offer(v) })
+		c.do(func() { c.apply(v) })
 		return nil
 	case errors.Is(err, platform.ErrUnchanged):
 		return nil
--- a/internal/app/daemon/refused.go
+++ b/internal/app/daemon/refused.go
@@ -8,17 +8,17 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// refused returns what is known of a request that the door refused: an id, by
+// describeRefused returns what is known of a request that the door describeRefused: an id, by
 // which its caller and its operator can speak of it, and whose it is.
-func (d *Daemon) refused(r *http.Request) *call.Request {
-	to, _ := locate(r.URL)
-	known := &call.Request{ID: newID(), Service: to.service, Method: r.Method, Path: to.path}
-	if origin, ok := d.owner.chains.find(r.Header.Get(upstream.HeaderToken)); ok {
-		known.ID, known.Organisation, known.Depth = origin.request.ID, origin.request.Organisation, origin.request.Depth+1
-		return known
+func (d *Daemon) describeRefused(r *http.Request) *call.Request {
+	dest, _ := locate(r.URL)
+	request := &call.Request{ID: newRequestID(), Service: dest.service, Method: r.Method, Path: dest.path}
+	if parent, ok := d.executor.runs.find(r.Header.Get(upstream.HeaderToken)); ok {
+		request.ID, request.Organisation, request.Depth = parent.request.ID, parent.request.Organisation, parent.request.Depth+1
+		return request
 	}
 	if key, ok := strings.CutPrefix(r.Header.Get(headerAuthorization), bearer); ok {
-		known.Organisation, _ = d.view.Load().Authenticate(key)
+		request.Organisation, _ = d.view.Load().Authenticate(key)
 	}
-	return known
+	return request
 }
--- a/internal/app/daemon/seek.go
+++ b/internal/app/daemon/seek.go
@@ -9,35 +9,37 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// seekBound is how long requests wait for tokens while no home can say how it stands and none of them
+// searchTimeout is how long requests wait for tokens while no home can say how it stands and none of them
 // gets one; when homes can, they are refused at once. It counts from the last token and not from the search's
 // beginning: one search follows requests that come without a pause for as long as they come.
-const seekBound = 500 * time.Millisecond
+const searchTimeout = 500 * time.Millisecond
 
-// seeks are the searches for tokens that requests wait for, one for each organisation.
-type seeks struct {
-	mu    *sync.Mutex
-	going map[string]*seek
+// tokenSearches are the searches for tokens that requests wait for, one for each organisation.
+type tokenSearches struct {
+	mu     *sync.Mutex
+	active map[string]*tokenSearch
 }
 
-func newSeeks() seeks { return seeks{mu: &sync.Mutex{}, going: map[string]*seek{}} }
+func newTokenSearches() tokenSearches {
+	return tokenSearches{mu: &sync.Mutex{}, active: map[string]*tokenSearch{}}
+}
 
-// seek asks home after home. A burst of requests at a dry daemon must not
+// tokenSearch asks home after home. A burst of requests at a dry daemon must not
 // become as many questions, so those that come meanwhile wait for the same ones.
-type seek struct {
-	mu      sync.Mutex
-	changed chan struct{}
-	waiters int
-	ended   bool
-	dry     bool
-	wait    time.Duration
-	// lent is when the search began, or when one of those that wait last got a token.
-	lent time.Time
+type tokenSearch struct {
+	mu         sync.Mutex
+	changed    chan struct{}
+	waiters    int
+	done       bool
+	exhausted  bool
+	retryAfter time.Duration
+	// lastToken is when the search began, or when one of those that wait last got a token.
+	lastToken time.Time
 }
 
 // Spend takes a token of the organisation. If none is here it waits, bounded, for
 // homes to lend one; false comes with the time after which to come back.
-func (r *rates) Spend(ctx context.Context, organisation string) (rate.Token, time.Duration, bool) {
+func (r *rateLimiter) Spend(ctx context.Context, organisation string) (rate.Token, time.Duration, bool) {
 	switch token, outcome, wait := r.borrower.Spend(organisation, time.Now()); outcome {
 	case rate.Spent:
 		return token, 0, true
@@ -47,20 +49,20 @@
 	}
 	r.daemon.metrics.Counter(telemetry.RateWaits).Inc(1)
 	r.waits.Add(1)
-	s := r.join(organisation)
+	s := r.joinSearch(organisation)
 	defer func() { s.leave() }()
 	for {
-		changed, ended, dry, wait := s.look()
+		changed, done, exhausted, retryAfter := s.state()
 		if token, ok := r.borrower.Take(organisation, time.Now()); ok {
-			s.took(time.Now())
+			s.recordToken(time.Now())
 			return token, 0, true
 		}
-		if ended && dry {
-			return rate.Token{}, wait, false
+		if done && exhausted {
+			return rate.Token{}, retryAfter, false
 		}
-		if ended {
+		if done {
 			s.leave()
-			s = r.join(organisation)
+			s = r.joinSearch(organisation)
 			continue
 		}
 		select {
@@ -71,23 +73,23 @@
 	}
 }
 
-// giveBack returns the token of a request that did not run; a chained request has none.
-func (r *rates) giveBack(a *admitted) {
+// returnToken returns the token of a request that did not run; a chained request has none.
+func (r *rateLimiter) returnToken(a *admitted) {
 	if r.borrower.GiveBack(a.request.Organisation, a.token, time.Now()) {
 		r.daemon.metrics.Counter(telemetry.RateGivenBack).Inc(1)
-		r.back.Add(1)
+		r.returned.Add(1)
 	}
 }
 
-// join returns the search that is going on for the organisation, starting one if there is none.
-func (r *rates) join(organisation string) *seek {
-	r.seeks.mu.Lock()
-	defer r.seeks.mu.Unlock()
-	s, ok := r.seeks.going[organisation]
+// joinSearch returns the search that is going on for the organisation, starting one if there is none.
+func (r *rateLimiter) joinSearch(organisation string) *tokenSearch {
+	r.searches.mu.Lock()
+	defer r.searches.mu.Unlock()
+	s, ok := r.searches.active[organisation]
 	if !ok {
-		s = &seek{changed: make(chan struct{}), wait: time.Second, lent: time.Now()}
-		r.seeks.going[organisation] = s
-		go r.seek(organisation, s)
+		s = &tokenSearch{changed: make(chan struct{}), retryAfter: time.Second, lastToken: time.Now()}
+		r.searches.active[organisation] = s
+		go r.runSearch(organisation, s)
 	}
 	s.mu.Lock()
 	s.waiters++
@@ -95,127 +97,127 @@
 	return s
 }
 
-func (r *rates) seek(organisation string, s *seek) {
-	wait, dry := r.rounds(organisation, s)
-	r.seeks.mu.Lock()
-	delete(r.seeks.going, organisation)
-	r.seeks.mu.Unlock()
-	if dry {
+func (r *rateLimiter) runSearch(organisation string, s *tokenSearch) {
+	wait, exhausted := r.search(organisation, s)
+	r.searches.mu.Lock()
+	delete(r.searches.active, organisation)
+	r.searches.mu.Unlock()
+	if exhausted {
 		r.borrower.RanDry(organisation, wait, time.Now())
 	}
-	s.end(wait, dry)
+	s.finish(wait, exhausted)
 }
 
-// rounds asks all homes again while some have more than was asked for, since
+// search asks all homes again while some have more than was asked for, since
 // requests join meanwhile, and once more for the fractions that they hold.
-func (r *rates) rounds(organisation string, s *seek) (wait time.Duration, dry bool) {
+func (r *rateLimiter) search(organisation string, s *tokenSearch) (wait time.Duration, exhausted bool) {
 	need := rate.Waiting
-	for s.wanted() {
+	for s.hasWaiters() {
 		var certain bool
-		ends := s.ends()
-		if !time.Now().Before(ends) {
+		deadline := s.deadline()
+		if !time.Now().Before(deadline) {
 			return wait, true
 		}
-		wait, certain = r.round(ends, organisation, s, need)
+		wait, certain = r.askHomes(deadline, organisation, s, need)
 		if r.borrower.Stock(organisation, time.Now()) > 0 {
 			// What was asked for ahead of need may have come too, and nobody else tells of it.
-			s.tell()
+			s.wakeWaiters()
 		}
 		if wait == 0 {
 			continue
 		}
 		if !certain {
-			time.Sleep(unsettledPause)
+			time.Sleep(unsettledDelay)
 			continue
 		}
 		if need == rate.Gathering {
 			return wait, true
 		}
 		need = rate.Gathering
-		if wait <= againWithin {
+		if wait <= maxTokenWait {
 			time.Sleep(wait)
 		}
 	}
 	return wait, false
 }
 
-// againWithin is how soon a home must expect a token for it to be waited for
+// maxTokenWait is how soon a home must expect a token for it to be waited for
 // before the homes are asked once more: a caller inside its rate should not be refused for a few milliseconds,
 // and one far over it should hear so at once.
-const againWithin = 20 * time.Millisecond
+const maxTokenWait = 20 * time.Millisecond
 
-// unsettledPause stands between rounds in which no home could say how it stands.
-const unsettledPause = 10 * time.Millisecond
+// unsettledDelay stands between rounds in which no home could say how it stands.
+const unsettledDelay = 10 * time.Millisecond
 
-// round asks each home once, as long as requests wait and the time is not up, and returns the
+// askHomes asks each home once, as long as requests wait and the time is not up, and returns the
 // shortest time until one has a token, and whether any could tell.
-func (r *rates) round(ends time.Time, organisation string, s *seek, need rate.Need) (wait time.Duration, certain bool) {
-	ctx, cancel := context.WithDeadline(context.Background(), ends)
+func (r *rateLimiter) askHomes(deadline time.Time, organisation string, s *tokenSearch, need rate.Need) (wait time.Duration, certain bool) {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	wait = rate.UnsettledWait
 	for _, home := range r.borrower.Homes(organisation, time.Now()) {
-		if !s.wanted() || ctx.Err() != nil {
+		if !s.hasWaiters() || ctx.Err() != nil {
 			break
 		}
-		if ask, ok := r.borrower.Urgent(organisation, home, s.waiting(), need, time.Now()); ok {
-			told := r.lend(ctx, ask)
+		if ask, ok := r.borrower.Urgent(organisation, home, s.waiterCount(), need, time.Now()); ok {
+			homeWait := r.requestTokens(ctx, ask)
 			switch {
-			case told == rate.UnsettledWait:
+			case homeWait == rate.UnsettledWait:
 			case certain:
-				wait = min(wait, told)
+				wait = min(wait, homeWait)
 			default:
-				wait, certain = told, true
+				wait, certain = homeWait, true
 			}
-			s.tell()
+			s.wakeWaiters()
 		}
 	}
 	return wait, certain
 }
 
-func (s *seek) look() (changed chan struct{}, ended, dry bool, wait time.Duration) {
+func (s *tokenSearch) state() (changed chan struct{}, done, exhausted bool, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.changed, s.ended, s.dry, s.wait
+	return s.changed, s.done, s.exhausted, s.retryAfter
 }
 
-// took notes that one of those that wait got a token.
-func (s *seek) took(now time.Time) {
+// recordToken notes that one of those that wait got a token.
+func (s *tokenSearch) recordToken(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lent = now
+	s.lastToken = now
 }
 
-// ends returns when the search ends unless somebody gets a token before.
-func (s *seek) ends() time.Time {
+// deadline returns when the search deadline unless somebody gets a token before.
+func (s *tokenSearch) deadline() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lent.Add(seekBound)
+	return s.lastToken.Add(searchTimeout)
 }
 
-func (s *seek) leave() {
+func (s *tokenSearch) leave() {
 	s.mu.Lock()
 	s.waiters--
 	s.mu.Unlock()
 }
 
-func (s *seek) waiting() int {
+func (s *tokenSearch) waiterCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.waiters
 }
 
-func (s *seek) wanted() bool { return s.waiting() > 0 }
+func (s *tokenSearch) hasWaiters() bool { return s.waiterCount() > 0 }
 
-func (s *seek) tell() {
+func (s *tokenSearch) wakeWaiters() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *seek) end(wait time.Duration, dry bool) {
+func (s *tokenSearch) finish(retryAfter time.Duration, exhausted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended, s.dry, s.wait = true, dry, wait
+	s.done, s.exhausted, s.retryAfter = true, exhausted, retryAfter
 	close(s.changed)
 }
--- a/internal/app/daemon/seek_test.go
+++ b/internal/app/daemon/seek_test.go
@@ -15,8 +15,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// distantRates borrows the tokens of one organisation from a full home that answers after a while.
-func distantRates(metrics *telemetry.Metrics, away time.Duration) *rates {
+// delayedRateLimiter borrows the tokens of one organisation from a full home that answers after a while.
+func delayedRateLimiter(metrics *telemetry.Metrics, delay time.Duration) *rateLimiter {
 	now := time.Now()
 	home := rate.Member{Host: "home"}
 	plans := []lists.Organisation{{Organisation: "dealer", Plan: "full", Rate: 1000, Burst: 1000}}
@@ -28,13 +28,13 @@
 	borrower := rate.NewBorrower("h", 1, limits)
 	borrower.SetPlans(plans)
 	borrower.SetList(1, []rate.Member{home})
-	r := &rates{daemon: &Daemon{metrics: metrics}, borrower: borrower, seeks: newSeeks()}
-	var one sync.Mutex
-	r.lend = func(_ context.Context, ask rate.Ask) time.Duration {
+	r := &rateLimiter{daemon: &Daemon{metrics: metrics}, borrower: borrower, searches: newTokenSearches()}
+	var mu sync.Mutex
+	r.requestTokens = func(_ context.Context, ask rate.Ask) time.Duration {
 		asked := time.Now()
-		time.Sleep(away)
-		one.Lock()
-		defer one.Unlock()
+		time.Sleep(delay)
+		mu.Lock()
+		defer mu.Unlock()
 		return borrower.Hear(home, lender.AnswerLease(ask.Message, time.Now()), asked, time.Now())
 	}
 	return r
@@ -43,10 +43,10 @@
 // Requests of an organisation far inside its rate come in without a pause, and each waits a moment for a token, so
 // that one search for tokens follows the requests on. Those that came when it had gone on for long were refused as
 // over the rate, though the home had answered each question with tokens.
-func TestAnAnsweringHomeIsWaitedFor(t *testing.T) {
+func TestSearchContinuesWhileHomesGrantTokens(t *testing.T) {
 	cases := []struct {
-		name string
-		away time.Duration
+		name  string
+		delay time.Duration
 	}{
 		{"a home near by", time.Millisecond},
 		{"a home in another region", 45 * time.Millisecond},
@@ -55,7 +55,7 @@
 		Convey("With "+c.name+", nobody inside the rate is refused", t, func() {
 			metrics := telemetry.NewMetrics("h", "a")
 			synctest.Test(t, func(t *testing.T) {
-				r := distantRates(metrics, c.away)
+				r := delayedRateLimiter(metrics, c.delay)
 				var refused atomic.Int32
 				var all sync.WaitGroup
 				for range 600 {
@@ -77,20 +77,20 @@
 }
 
 // All homes hang. A request must hear so while its caller still listens, and not wait for its whole time.
-func TestHangingHomesAreNotWaitedForLong(t *testing.T) {
+func TestSearchTimesOutWhenHomesHang(t *testing.T) {
 	Convey("A request is refused after the bound", t, func() {
 		metrics := telemetry.NewMetrics("h", "a")
 		synctest.Test(t, func(t *testing.T) {
-			r := distantRates(metrics, 0)
-			r.lend = func(context.Context, rate.Ask) time.Duration {
-				time.Sleep(askBound)
+			r := delayedRateLimiter(metrics, 0)
+			r.requestTokens = func(context.Context, rate.Ask) time.Duration {
+				time.Sleep(leaseTimeout)
 				return rate.UnsettledWait
 			}
 			begun := time.Now()
 			if _, _, ok := r.Spend(t.Context(), "dealer"); ok {
 				t.Error("it got a token")
 			}
-			if waited := time.Since(begun); waited < seekBound || waited > seekBound+askBound+unsettledPause {
+			if waited := time.Since(begun); waited < searchTimeout || waited > searchTimeout+leaseTimeout+unsettledDelay {
 				t.Errorf("it waited %s", waited)
 			}
 		})
--- a/internal/app/daemon/spreading_test.go
+++ b/internal/app/daemon/spreading_test.go
@@ -11,7 +11,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/spread"
 )
 
-func TestLargeValuesAreHandedOutInTurn(t *testing.T) {
+func TestLargeValuesAreSentOneAtATime(t *testing.T) {
 	// A zone starts as a whole, and one daemon has the lists first. Forty peers ask it for a
 	// megabyte at once, and its host runs short of memory for the upstream.
 	Convey("Peers that ask for a large value at once get it one after another, and the last ones nothing", t, func() {
@@ -22,17 +22,17 @@
 		whole := 0
 		var longest time.Duration
 		for range 40 {
-			packet, wait := c.hand(spread.Fetch{Kind: lists.KindKeys}, now)
+			packet, wait := c.packet(spread.Fetch{Kind: lists.KindKeys}, now)
 			if len(packet.Whole) > 0 {
 				whole++
 			}
 			longest = max(longest, wait)
 		}
-		So(whole, ShouldEqual, int(handWait/handSpacing)+1)
-		So(longest, ShouldEqual, handWait)
-		_, wait := c.hand(spread.Fetch{Kind: lists.KindPlans}, now)
+		So(whole, ShouldEqual, int(maxLargeValueWait/largeValueInterval)+1)
+		So(longest, ShouldEqual, maxLargeValueWait)
+		_, wait := c.packet(spread.Fetch{Kind: lists.KindPlans}, now)
 		So(wait, ShouldEqual, 0)
-		packet, wait := c.hand(spread.Fetch{Kind: lists.KindKeys}, now.Add(handWait+handSpacing))
+		packet, wait := c.packet(spread.Fetch{Kind: lists.KindKeys}, now.Add(maxLargeValueWait+largeValueInterval))
 		So(packet.Whole, ShouldHaveLength, 1<<20)
 		So(wait, ShouldEqual, 0)
 	})
--- a/internal/app/daemon/truth_test.go
+++ b/internal/app/daemon/truth_test.go
@@ -10,7 +10,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-func TestCredible(t *testing.T) {
+func TestNotRunIsChecked(t *testing.T) {
 	// An upstream settles a payment through one service and is refused by the
 	// next. It passes that refusal on as its own, and its caller, told that
 	// nothing ran, pays again.
@@ -29,7 +29,7 @@
 	Convey("An upstream's not run counts only if nothing was spent", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				a := credible(&call.Request{Budget: 8}, c.answer, c.left)
+				a := checkNotRun(&call.Request{Budget: 8}, c.answer, c.left)
 				So(a.Outcome, ShouldEqual, c.outcome)
 				So(a.BudgetLeft, ShouldEqual, c.back)
 			})
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestPassedHeaders(t *testing.T) {
+func TestForwardedHeaders(t *testing.T) {
 	// A caller names an organisation, a budget or a token of its own, spelled so
 	// that an upstream behind a CGI-like interface can't tell it from the daemon's.
 	cases := []struct {
@@ -57,13 +57,13 @@
 	Convey("No header of the system's own, and no key, is passed on", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				So(len(passed(http.Header{c.name: {"x"}})) == 1, ShouldEqual, c.passes)
+				So(len(forwardedHeaders(http.Header{c.name: {"x"}})) == 1, ShouldEqual, c.passes)
 			})
 		}
 	})
 }
 
-func TestTimeForTheAnswer(t *testing.T) {
+func TestReturnTimeIsReserved(t *testing.T) {
 	cases := []struct{ left, want time.Duration }{
 		{time.Second, 995 * time.Millisecond},
 		{20 * time.Millisecond, 18 * time.Millisecond},
@@ -71,7 +71,7 @@
 	}
 	Convey("A handed-on request leaves time for its answer", t, func() {
 		for _, c := range cases {
-			h := newHandoff(&call.Request{Deadline: time.Unix(100, 0).Add(c.left)}, time.Unix(100, 0))
+			h := newRunRequest(&call.Request{Deadline: time.Unix(100, 0).Add(c.left)}, time.Unix(100, 0))
 			So(h.Remaining, ShouldEqual, c.want)
 		}
 	})
--- a/internal/app/daemon/usable.go
+++ b/internal/app/daemon/usable.go
@@ -14,10 +14,10 @@
 // taken over anew as well: 400 instances would cost each request tens of
 // microseconds just when the fleet is in trouble.
 type usableHosts struct {
-	mu      sync.Mutex
-	view    *lists.View
-	members *member.View
-	kept    map[string][]lists.Host
+	mu       sync.Mutex
+	view     *lists.View
+	members  *member.View
+	filtered map[string][]lists.Host
 }
 
 // of returns the service's usable hosts, the same slice while neither view nor members change.
@@ -29,12 +29,12 @@
 	defer u.mu.Unlock()
 	if u.view != view || u.members != members {
 		u.view, u.members = view, members
-		u.kept = map[string][]lists.Host{}
+		u.filtered = map[string][]lists.Host{}
 	}
-	hosts, ok := u.kept[service]
+	hosts, ok := u.filtered[service]
 	if !ok {
 		hosts = members.Usable(view.HostsOf(service))
-		u.kept[service] = hosts
+		u.filtered[service] = hosts
 	}
 	return hosts
 }
--- a/internal/app/daemon/usable_test.go
+++ b/internal/app/daemon/usable_test.go
@@ -13,7 +13,7 @@
 // A host says that it is leaving. Each request then filters the list of hosts
 // anew, and the placer takes each copy for a new list: all that it knew of
 // failing hosts would be gone, and its cost would grow with the fleet.
-func TestUsableHostsKeepTheirSlice(t *testing.T) {
+func TestUsableHostsAreCached(t *testing.T) {
 	Convey("The same slice is returned until the view or the members change", t, func() {
 		list := []lists.Host{{Host: "a", Service: "s"}, {Host: "b", Service: "s"}, {Host: "c", Service: "s"}}
 		view := lists.NewView([lists.Kinds]uint64{1, 1, 1, 1}, nil, nil, nil, &lists.Hosts{Hosts: list})
