--- a/internal/app/daemon/answers.go
+++ b/internal/app/daemon/answers.go
@@ -10,35 +10,34 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// answerKind is what answers are counted by.
+// answerKind is the pair of labels by which responses are counted.
 type answerKind struct {
 	outcome call.Outcome
 	reason  call.Reason
 }
 
-// kindMetrics is the metrics of one kind of answer.
+// kindMetrics holds the metrics of one kind of response.
 type kindMetrics struct {
 	answers tally.Counter
 	seconds tally.Histogram
 }
 
-// answerMetrics keeps the metrics of every kind of answer that came up: making
-// a tagged scope costs 2 µs and five allocations, each time anew.
+// answerMetrics caches the metrics of every kind of response seen so far, since creating a tagged scope costs five allocations.
 type answerMetrics struct {
 	scope telemetry.Scope
-	kinds sync.Map // answerKind to *answerCount
+	kinds sync.Map // answerKind to *kindMetrics
 }
 
 func newAnswerMetrics(scope telemetry.Scope) *answerMetrics { return &answerMetrics{scope: scope} }
 
-// add counts one answer that took so long.
+// add records one response and how long the request took.
 func (a *answerMetrics) add(answer call.Answer, duration time.Duration) {
-	count := a.of(answerKind{answer.Outcome, answer.Reason})
+	count := a.forKind(answerKind{answer.Outcome, answer.Reason})
 	count.answers.Inc(1)
 	count.seconds.RecordDuration(duration)
 }
 
-func (a *answerMetrics) of(kind answerKind) *kindMetrics {
+func (a *answerMetrics) forKind(kind answerKind) *kindMetrics {
 	if known, ok := a.kinds.Load(kind); ok {
 		return known.(*kindMetrics)
 	}
--- a/internal/app/daemon/chains.go
+++ b/internal/app/daemon/chains.go
@@ -9,7 +9,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// parentRun is the running request that an upstream's own calls belong to.
+// parentRun is a request that the local upstream is running, as the parent of the upstream's sub-calls.
 type parentRun struct {
 	request *call.Request
 	account *budget.Account
@@ -21,7 +21,7 @@
 	pressure     float64
 }
 
-// callStarted notes that the upstream waits for one of its own calls.
+// callStarted records that the upstream has begun to wait for a sub-call.
 func (o *parentRun) callStarted(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -31,7 +31,7 @@
 	o.openCalls++
 }
 
-// callEnded notes the end of one of the upstream's own calls and the pressure that came back with it.
+// callEnded records the end of a sub-call and the pressure that its response reported.
 func (o *parentRun) callEnded(now time.Time, pressure float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -42,11 +42,10 @@
 	o.pressure = max(o.pressure, pressure)
 }
 
-// waited returns how long the upstream waited for its own calls, and the highest pressure that it met.
+// waited returns how long the upstream has waited for sub-calls, and the highest pressure that their responses reported.
 //
-// A slow deep service makes each service above it slow as well. Without this
-// time taken out, every hop would lower its own limit for a fault that isn't
-// its own, and the whole chain would run at a fraction of what it can.
+// A slow service deep in the call graph slows every service above it. If this time were counted, every hop would lower
+// its concurrency limit for a fault that isn't its own, and the whole call path would run far below its capacity.
 func (o *parentRun) waited(now time.Time) (time.Duration, float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -56,11 +55,10 @@
 	return o.waitedBefore, o.pressure
 }
 
-// activeRuns maps the tokens given to the upstream to the requests it is running.
+// activeRuns maps run tokens to the requests that the local upstream is running.
 //
-// An upstream could otherwise name any organisation in its calls. The token
-// says nothing by itself, only this daemon resolves it, and it ends with the
-// request.
+// Without tokens an upstream could name any organisation in its sub-calls. A token is random and carries no data; only
+// the daemon that issued it can resolve it, and it is valid only while its request runs.
 type activeRuns struct {
 	mu      sync.Mutex
 	running map[string]*parentRun
--- a/internal/app/daemon/control.go
+++ b/internal/app/daemon/control.go
@@ -16,8 +16,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/platform"
 )
 
-// control is the one thread that owns the lists and what is known of the
-// other daemons; it publishes views for the traffic threads.
+// control owns the lists and the state of the other daemons. One goroutine uses it and publishes views for the
+// goroutines that handle requests.
 type control struct {
 	daemon      *Daemon
 	platform    *platform.Client
@@ -27,7 +27,7 @@
 	members     *member.Table
 	incarnation uint64
 	leaving     bool
-	// exchanging holds the peers with a digest in flight; a slow one gets no second.
+	// exchanging holds the peers with a digest in flight; a slow peer gets no second one.
 	exchanging       map[netip.AddrPort]bool
 	stopReading      context.CancelFunc
 	reading          bool
@@ -79,8 +79,8 @@
 	c.done.Wait()
 }
 
-// tickInterval is how often the control thread looks at the clock. It is a
-// twentieth of the pause that makes a daemon's lists count as old.
+// tickInterval is the interval of the control goroutine's timed work. It is a twentieth of the pause after which a
+// daemon's lists no longer count as current.
 const tickInterval = 100 * time.Millisecond
 
 func (c *control) run() {
@@ -100,7 +100,7 @@
 	}
 }
 
-// do runs f on the control thread and waits for it; false means that the thread has ended.
+// do runs f on the control goroutine and waits for it; false means that the goroutine has ended.
 func (c *control) do(f func()) bool {
 	done := make(chan struct{})
 	select {
@@ -112,7 +112,7 @@
 	}
 }
 
-// apply puts a value in force if it is newer and sound, and tells peers of it at once.
+// apply puts a list into force if it is newer and valid, and announces it to peers at once.
 func (c *control) apply(v lists.Value) {
 	c.noteLargeValue(len(v.Raw))
 	verdict, faults := c.set.Offer(v)
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -22,7 +22,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// Daemon is one process of the system.
+// Daemon is one foxtailhook process, which runs on the same host as its upstream.
 type Daemon struct {
 	settings settings.Settings
 	log      *logrus.Logger
@@ -49,7 +49,7 @@
 	operatorServer *httpd.Server
 }
 
-// New returns a daemon with checked settings; it does nothing until Run.
+// New returns a daemon with the given settings, which must be valid; it opens no socket before Run.
 func New(s settings.Settings, log *logrus.Logger) *Daemon {
 	d := &Daemon{
 		settings:  s,
@@ -77,10 +77,10 @@
 	return d
 }
 
-// maxFrameHead is room for a request's head beside its body.
+// maxFrameHead is the number of bytes that a message between daemons may add to the request's body.
 const maxFrameHead = 1 << 20
 
-// Run serves until ctx ends, then leaves without cutting a request; the error tells which listener failed to start.
+// Run serves until ctx ends, then drains and stops; the error names the listener that failed to start.
 func (d *Daemon) Run(ctx context.Context) error {
 	if err := d.start(ctx); err != nil {
 		return err
@@ -122,9 +122,9 @@
 	listsPollInterval = 10 * time.Millisecond
 )
 
-// awaitLists keeps the callers' port closed until the lists and the rates are there, so that a
-// restart refuses nobody: a caller that can't connect goes to another host. When
-// they don't come, callers are better told so than left without an answer.
+// awaitLists keeps the callers' port closed until the lists and the rate limits are loaded, so that a restart
+// refuses no caller: a caller that can't connect goes to another host. After listsTimeout the port opens all the
+// same, since a refusal with a reason is better for callers than no response.
 func (d *Daemon) awaitLists(ctx context.Context) {
 	deadline := time.Now().Add(listsTimeout)
 	for !(d.acceptsCallers(time.Now()) && d.rateLimiter.ready.Load()) && ctx.Err() == nil && time.Now().Before(deadline) {
--- a/internal/app/daemon/dispatch.go
+++ b/internal/app/daemon/dispatch.go
@@ -13,12 +13,12 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// attemptsPerHop bounds the hosts that one hop tries; the chain's budget bounds them all together.
+// attemptsPerHop is the maximum number of hosts tried by one hop; the request's budget limits all hops together.
 const attemptsPerHop = 3
 
-// dispatch places the request, and tells those above it how it went: the door
-// that let it in, or the request that the upstream made this call for.
-func (d *Daemon) dispatch(ctx context.Context, a admitted) call.Answer {
+// dispatch sends the request to a host of its service and reports the outcome to the level above: the throttle that
+// admitted a caller's request, or the run that made this sub-call.
+func (d *Daemon) dispatch(ctx context.Context, a admittedRequest) call.Answer {
 	if a.parent != nil {
 		a.parent.callStarted(time.Now())
 	}
@@ -37,9 +37,9 @@
 	return answer
 }
 
-// sendWithRetries repeats the request on another host only after a true notRun, or after a
-// lost answer where the operation is idempotent.
-func (d *Daemon) sendWithRetries(ctx context.Context, a admitted) call.Answer {
+// sendWithRetries retries the request on another host only if it certainly did not run, or if its response was lost
+// and the operation is idempotent.
+func (d *Daemon) sendWithRetries(ctx context.Context, a admittedRequest) call.Answer {
 	tried := make([]string, 0, attemptsPerHop)
 	answer := call.Refuse(call.NoUpstream, time.Second)
 	mayHaveRun := false
@@ -62,7 +62,7 @@
 			break
 		}
 	}
-	// A refusal after a lost answer must not claim that nothing ran.
+	// A refusal after a lost response must not claim that the request did not run.
 	if mayHaveRun && answer.Outcome == call.NotRun {
 		answer = call.Lose(call.AnswerLost)
 	}
@@ -81,8 +81,8 @@
 	}
 }
 
-// attempt sends the request to one more host and returns its answer and name; false if there is no other host.
-func (d *Daemon) attempt(ctx context.Context, a admitted, tried []string) (call.Answer, string, bool) {
+// attempt sends the request to a host that is not among those tried, and returns the response and the host's name; false if there is no such host.
+func (d *Daemon) attempt(ctx context.Context, a admittedRequest, tried []string) (call.Answer, string, bool) {
 	r, started := a.request, time.Now()
 	if r.Budget = d.drawBudget(ctx, a); r.Budget == 0 {
 		refusal := noBudgetRefusal(ctx)
@@ -108,7 +108,7 @@
 	return answer, host.Host, true
 }
 
-// logPlacing logs one placing decision and what became of it; the host is empty where none was taken.
+// logPlacing logs one load-balancing decision and its outcome; host is empty if none was chosen.
 func (d *Daemon) logPlacing(r *call.Request, host lists.Host, tried int, answer call.Answer, started time.Time) {
 	d.log.WithFields(logrus.Fields{
 		"decision": "place", "requestId": r.ID, "organisation": r.Organisation, "operation": r.Operation,
@@ -117,7 +117,7 @@
 	}).Info("route")
 }
 
-// noBudgetRefusal is the answer for an attempt without budget, which may have waited for some until its time was up.
+// noBudgetRefusal is the response for an attempt without budget, which may have waited for budget until the deadline.
 func noBudgetRefusal(ctx context.Context) call.Answer {
 	if ctx.Err() != nil {
 		return call.Refuse(call.DeadlineTooNear, 0)
@@ -125,9 +125,9 @@
 	return call.Refuse(call.BudgetSpent, 0)
 }
 
-// drawBudget takes what the attempt may spend from the request's account, waiting for
-// calls made beside it if they hold what is missing; 0 means that there is nothing.
-func (d *Daemon) drawBudget(ctx context.Context, a admitted) int {
+// drawBudget draws the attempt's budget from the request's account. If parallel sub-calls hold what is missing, it
+// waits for them; 0 means that no budget is left.
+func (d *Daemon) drawBudget(ctx context.Context, a admittedRequest) int {
 	for {
 		runs, wait := a.account.Draw(d.needs.Expect(a.request.Operation, a.request.Depth))
 		if wait == nil {
@@ -141,10 +141,10 @@
 	}
 }
 
-// minFaultStatus is the lowest HTTP status code of a fault of the upstream.
+// minFaultStatus is the lowest HTTP status code that reports a fault of the upstream.
 const minFaultStatus = 500
 
-// placingResult is what an answer tells of the host that it came from.
+// placingResult classifies a response by what it shows about the host that sent it.
 func placingResult(a call.Answer) placing.Ending {
 	switch {
 	case a.Outcome == call.Whole && a.Status < minFaultStatus:
@@ -162,7 +162,7 @@
 	}
 }
 
-// send runs the request on this host's upstream or hands it on to the daemon beside the chosen one.
+// send runs the request on the local upstream or forwards it to the daemon on the chosen host.
 func (d *Daemon) send(ctx context.Context, host lists.Host, r *call.Request, keyValid func() bool) call.Answer {
 	if host.Host == d.settings.Host {
 		return d.executor.run(ctx, r, keyValid)
@@ -174,7 +174,7 @@
 	return d.forwardingFailure(r, err)
 }
 
-// forwardingFailure tells what a failed handoff says of the request.
+// forwardingFailure returns the response to a request whose forwarding to another daemon failed.
 func (d *Daemon) forwardingFailure(r *call.Request, err error) call.Answer {
 	switch {
 	case errors.Is(err, peer.ErrNotSent):
--- a/internal/app/daemon/dispatch_test.go
+++ b/internal/app/daemon/dispatch_test.go
@@ -33,7 +33,7 @@
 			var out bytes.Buffer
 			d := singleHostDaemon(loopback.Address())
 			d.log = telemetry.NewLog(&out, d.settings.LogLevel)
-			a := admitted{account: budget.New(c.runs), request: call.Request{
+			a := admittedRequest{account: budget.New(c.runs), request: call.Request{
 				ID: "r1", Organisation: "dealer", Operation: "lookup.find", Service: c.service, Method: http.MethodPost, Path: "/",
 				Header: http.Header{}, Deadline: time.Now().Add(time.Minute),
 			}}
--- a/internal/app/daemon/doc.go
+++ b/internal/app/daemon/doc.go
@@ -1,2 +1,3 @@
-// Package daemon wires the decisions to sockets: it is the process beside each upstream.
+// Package daemon runs one foxtailhook process: it connects admission control, load balancing, rate limits and
+// membership to the network, on the host of each upstream.
 package daemon
--- a/internal/app/daemon/door.go
+++ b/internal/app/daemon/door.go
@@ -13,7 +13,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// Names of the headers that callers send.
+// Names of headers in callers' requests.
 const (
 	headerAuthorization  = "Authorization"
 	headerTimeout        = upstream.HeaderTimeout
@@ -21,36 +21,36 @@
 	bearer               = "Bearer "
 )
 
-// admitted is a request that passed the door, with the account its runs are drawn from.
-type admitted struct {
+// admittedRequest is a request that passed admission, with the account that pays for its runs.
+type admittedRequest struct {
 	request call.Request
 	account *budget.Account
-	// parent is the request that an upstream's call belongs to; nil for a caller's.
+	// parent is the run on whose behalf the local upstream sent the request; nil for a caller's request.
 	parent *parentRun
-	// keyValid reports, after a wait, whether the caller's key is keyValid in force; nil means that it need not be asked.
+	// keyValid reports whether the caller's key is still valid, for checks after a wait; nil means that no check is needed.
 	keyValid func() bool
-	// token is what a caller's request has spent of its organisation's rate.
+	// token is the rate-limit token that a caller's request has spent.
 	token rate.Token
 }
 
-// admit decides in the order key, plan, rate, overload, so that nothing is
-// spent on a request that an earlier check refuses. The rate goes before overload, since an
-// organisation over its rate would else use up what the door lets in; a token goes back
-// when the door, or later a queue, refuses.
-func (d *Daemon) admit(r *http.Request, body []byte, now time.Time) (admitted, call.Answer, bool) {
+// admit checks the key, the plan, the rate limit and overload, in this order, so that nothing is spent on a request
+// that an earlier check refuses. The rate limit is checked before overload, since an organisation above its rate
+// limit would otherwise use up what the throttle admits. The token is returned if the throttle or, later, a queue
+// refuses the request.
+func (d *Daemon) admit(r *http.Request, body []byte, now time.Time) (admittedRequest, call.Answer, bool) {
 	if token := r.Header.Get(upstream.HeaderToken); token != "" {
 		return d.admitSubCall(r, token, body)
 	}
 	return d.admitCaller(r, body, now)
 }
 
-func (d *Daemon) admitCaller(r *http.Request, body []byte, now time.Time) (admitted, call.Answer, bool) {
+func (d *Daemon) admitCaller(r *http.Request, body []byte, now time.Time) (admittedRequest, call.Answer, bool) {
 	if !d.waitToAccept(r, now) {
 		return refuse(call.NotReady, time.Second)
 	}
-	// Loaded after the question whether the lists are current: a thread that was
-	// held up between the two would otherwise hold the lists from before a pause
-	// against the answer from after it, and let a withdrawn key in.
+	// The view is loaded after the check that the lists are current. In the other order, a goroutine that was
+	// suspended between the two could combine lists from before a pause of the process with a check made after
+	// it, and admit a withdrawn key.
 	view := d.view.Load()
 	key, ok := strings.CutPrefix(r.Header.Get(headerAuthorization), bearer)
 	if !ok {
@@ -84,11 +84,10 @@
 	return a, call.Answer{}, true
 }
 
-// admitSubCall admits a call that the local upstream makes on behalf of a
-// request it is running. Organisation, deadline, priority and budget come from
-// what this daemon remembers, never from what the upstream says; the rate was
-// spent when the request came in.
-func (d *Daemon) admitSubCall(r *http.Request, token string, body []byte) (admitted, call.Answer, bool) {
+// admitSubCall admits a sub-call that the local upstream makes on behalf of a request it is running. Organisation,
+// deadline, priority and budget come from this daemon's record of that request, never from the upstream's headers.
+// The token was spent when the caller's request was admitted.
+func (d *Daemon) admitSubCall(r *http.Request, token string, body []byte) (admittedRequest, call.Answer, bool) {
 	parent, ok := d.executor.runs.find(token)
 	if !ok {
 		return refuse(call.UnknownKey, 0)
@@ -106,7 +105,7 @@
 	return a, call.Answer{}, true
 }
 
-func (d *Daemon) prepare(view *lists.View, organisation string, r *http.Request, body []byte) (admitted, call.Answer, bool) {
+func (d *Daemon) prepare(view *lists.View, organisation string, r *http.Request, body []byte) (admittedRequest, call.Answer, bool) {
 	dest, ok := locate(r.URL)
 	if !ok {
 		return refuse(call.BadRequest, 0)
@@ -123,7 +122,7 @@
 	if runs == 0 {
 		runs = d.settings.DefaultRuns
 	}
-	return admitted{request: call.Request{
+	return admittedRequest{request: call.Request{
 		Organisation:   organisation,
 		Operation:      op.Operation,
 		Service:        dest.service,
@@ -151,11 +150,11 @@
 	return min(time.Duration(ms)*time.Millisecond, d.settings.MaxTimeout), true
 }
 
-func refuse(reason call.Reason, wait time.Duration) (admitted, call.Answer, bool) {
-	return admitted{}, call.Refuse(reason, wait), false
+func refuse(reason call.Reason, wait time.Duration) (admittedRequest, call.Answer, bool) {
+	return admittedRequest{}, call.Refuse(reason, wait), false
 }
 
-// strippedHeaders are the headers that are the daemon's own or belong to one connection; no upstream sees them.
+// strippedHeaders are the headers that belong to the daemon or to one connection; they aren't forwarded to upstreams.
 var strippedHeaders = []string{
 	headerAuthorization, headerTimeout, upstream.HeaderToken, upstream.HeaderOrganisation,
 	upstream.HeaderOperation, upstream.HeaderRequestID, upstream.HeaderOutcome,
--- a/internal/app/daemon/doubts.go
+++ b/internal/app/daemon/doubts.go
@@ -6,16 +6,16 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// hostFailure is what a traffic thread saw of a host that it handed a request to.
+// hostFailure reports a request that failed on another host.
 type hostFailure struct {
 	host    string
 	leaving bool
 }
 
-// maxPendingFailures bounds what traffic has to tell; under a flood of failures a part of them tells as much.
+// maxPendingFailures bounds the reports waiting for the control goroutine; during a flood of failures the reports that fit are enough.
 const maxPendingFailures = 64
 
-// checkAnswer lets the control thread know of an answer that speaks against a host.
+// checkAnswer reports a response that suggests that the host is leaving or unreachable.
 func (d *Daemon) checkAnswer(host string, a call.Answer) {
 	if host == d.settings.Host {
 		return
@@ -26,7 +26,7 @@
 	}
 }
 
-// reportFailure hands a doubt to the control thread, if that has room for it.
+// reportFailure queues a report for the control goroutine and drops it if the queue is full.
 func (d *Daemon) reportFailure(failure hostFailure) {
 	select {
 	case d.control.failures <- failure:
@@ -34,8 +34,8 @@
 	}
 }
 
-// handleFailure checks a host that a request failed on. A slow upstream loses answers
-// as well as a dead host does, so it is only the failed digest that counts.
+// handleFailure checks a host on which a request failed. A slow upstream loses responses just as a dead host does, so the
+// host is suspected only if a digest exchange with its daemon fails as well.
 func (c *control) handleFailure(failure hostFailure) {
 	now := time.Now()
 	if failure.leaving {
@@ -48,7 +48,7 @@
 	}
 }
 
-// recordFailure notes that no digest came back from a host.
+// recordFailure records that a digest exchange with a host failed.
 func (c *control) recordFailure(host string, now time.Time) {
 	if host != "" && c.members.Failed(host, now) {
 		c.daemon.log.WithField("host", host).Warn("suspect")
@@ -56,7 +56,7 @@
 	}
 }
 
-// recordContact notes that a host spoke.
+// recordContact records that a host was reached.
 func (c *control) recordContact(host string, now time.Time) {
 	if c.members.Reached(host) {
 		c.daemon.log.WithField("host", host).Info("reached again")
--- a/internal/app/daemon/faults.go
+++ b/internal/app/daemon/faults.go
@@ -10,7 +10,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/httpd"
 )
 
-// faultResponse answers a request that was refused before it was whole, in the form of all other refusals.
+// faultResponse returns the response to a request that was refused before it was read completely, in the same form as all refusals.
 func faultResponse(f httpd.Fault) (int, http.Header, []byte) {
 	refusal := call.Refuse(call.BadRequest, 0)
 	switch f {
@@ -28,7 +28,7 @@
 	return refusal.Status, header, refusalBody(refusal, "")
 }
 
-// readBody takes a request's body over in one piece of its size.
+// readBody reads the request's body into one slice of its exact size if the length is known.
 func readBody(r *http.Request) ([]byte, error) {
 	defer func() { _ = r.Body.Close() }()
 	if r.ContentLength <= 0 {
@@ -39,12 +39,11 @@
 	return body, err
 }
 
-// reservedPrefix is what the names of the system's own headers begin with.
+// reservedPrefix begins the names of foxtailhook's own headers, in lower case.
 const reservedPrefix = "foxtailhook-"
 
-// isReserved reports whether a caller's header could pass for one of the system's.
-// Upstreams behind CGI-like interfaces see _ and - as the same, so a caller could
-// name its organisation in Foxtailhook_Organisation.
+// isReserved reports whether an upstream could take the header for one of foxtailhook's own. Upstreams behind CGI-like
+// interfaces can't distinguish _ from -, so a caller could name another organisation in Foxtailhook_Organisation.
 func isReserved(name string) bool {
 	return strings.HasPrefix(strings.ReplaceAll(strings.ToLower(name), "_", "-"), reservedPrefix)
 }
--- a/internal/app/daemon/front.go
+++ b/internal/app/daemon/front.go
@@ -16,7 +16,7 @@
 
 func newRequestID() string { return uuid.NewString() }
 
-// Refusal is the JSON body of every answer that is not an upstream's.
+// Refusal is the JSON body of every response that doesn't come from an upstream.
 type Refusal struct {
 	Outcome      string `json:"outcome"`
 	Reason       string `json:"reason"`
@@ -44,7 +44,7 @@
 	d.respond(w, &a.request, answer, started)
 }
 
-// reject answers and logs a request that did not get past the door.
+// reject logs and writes the response to a request that was not admitted.
 func (d *Daemon) reject(w http.ResponseWriter, r *http.Request, refusal call.Answer, started time.Time) {
 	request := d.describeRefused(r)
 	d.log.WithFields(logrus.Fields{
--- a/internal/app/daemon/gauges.go
+++ b/internal/app/daemon/gauges.go
@@ -13,7 +13,7 @@
 
 const metricsInterval = time.Second
 
-// reportMetrics shows the gate and the doors in the metrics for as long as the daemon runs.
+// reportMetrics updates the metrics until the control goroutine is stopped.
 func (d *Daemon) reportMetrics() {
 	tick := time.NewTicker(metricsInterval)
 	defer tick.Stop()
@@ -32,7 +32,7 @@
 	}
 }
 
-// reportFleet shows whether the lists are current, and who gets no new work.
+// reportFleet reports whether the lists are current, and how many hosts receive no new work.
 func (d *Daemon) reportFleet() {
 	scope := d.metrics.Scope
 	leaving, suspects := d.members.Load().Counts()
@@ -51,7 +51,7 @@
 	}
 }
 
-// reportPeers returns the bytes between daemons that it has shown.
+// reportPeers reports the traffic between daemons since the last report, and returns the totals for the next one.
 func (d *Daemon) reportPeers(last peer.Traffic) peer.Traffic {
 	traffic := d.peers.Traffic()
 	for k, bytes := range traffic.ByKind {
@@ -65,7 +65,7 @@
 	return traffic
 }
 
-// reportGate returns the counts that it has shown.
+// reportGate reports the gate's load and its counts since the last report, and returns the totals for the next one.
 func (d *Daemon) reportGate(last admission.Counts) admission.Counts {
 	scope := d.metrics.Scope
 	load, counts := d.executor.gate.Load(), d.executor.gate.Counts()
--- a/internal/app/daemon/handoff.go
+++ b/internal/app/daemon/handoff.go
@@ -9,8 +9,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// runRequest is a request on its way to the daemon beside the chosen upstream. It
-// carries the time left rather than the deadline, since clocks differ.
+// runRequest forwards a request to the daemon on the chosen host. It carries the remaining time rather than the
+// deadline, since the hosts' clocks differ.
 type runRequest struct {
 	ID             string        `msgpack:"id"`
 	Organisation   string        `msgpack:"organisation"`
@@ -29,7 +29,7 @@
 	Depth          int           `msgpack:"depth"`
 }
 
-// runResult is the answer to a handoff.
+// runResult is the reply to a runRequest.
 type runResult struct {
 	Outcome    call.Outcome  `msgpack:"outcome"`
 	Reason     call.Reason   `msgpack:"reason"`
@@ -55,14 +55,14 @@
 	maxReturnTime  = 5 * time.Millisecond
 )
 
-// withoutReturnTime takes the time that an answer needs on its way back from the time
-// left. A booking whose time runs out in the other host's queue is refused there
-// in time; told a moment too late, it would be called unknown though nothing ran.
+// withoutReturnTime subtracts from the remaining time what the reply needs for its way back. Without it, a request that
+// reaches its deadline in the other host's queue would be refused there a moment too late, and this daemon would report
+// its outcome as unknown although nothing ran.
 func withoutReturnTime(remaining time.Duration) time.Duration {
 	return remaining - reserve(remaining, maxReturnTime)
 }
 
-// reserve returns the part of the time left that is kept for an answer, at most so much.
+// reserve returns the fraction of the remaining time that is set aside for a reply, at most the maximum.
 func reserve(remaining, maximum time.Duration) time.Duration {
 	return min(remaining/reserveDivisor, maximum)
 }
@@ -106,8 +106,8 @@
 	return newRunResult(d.executor.run(ctx, r, nil))
 }
 
-// bodyMemoryRefusal refuses a request whose body has no room beside those held. Bodies that
-// other daemons hand on wait for slots here, and would add up without bound.
+// bodyMemoryRefusal refuses a request whose body exceeds the memory left for bodies. Bodies from other daemons are held
+// while their requests wait for slots, and without a bound they would exhaust the host's memory.
 func bodyMemoryRefusal(r *call.Request) call.Answer {
 	refusal := call.Refuse(call.Overloaded, time.Second)
 	refusal.BudgetLeft = r.Budget
--- a/internal/app/daemon/inflight.go
+++ b/internal/app/daemon/inflight.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// inFlight counts the requests at work, by those that began before and after a moment.
+// inFlight counts the requests in flight, separately for each interval between two drains.
 type inFlight struct {
 	total   atomic.Int64
 	current atomic.Pointer[generation]
-	// draining belongs to the thread that stops the daemon.
+	// draining holds the generations that began before the last drain; only the goroutine that stops the daemon uses it.
 	draining []*generation
 }
 
-// generation is the requests that began between two moments.
+// generation counts the requests that began between two drains.
 type generation struct {
 	count atomic.Int64
 	total *atomic.Int64
@@ -26,10 +26,10 @@
 	return f
 }
 
-// begin counts a request until the end of what it returns.
+// begin counts a request until the end method of the returned generation is called.
 //
-// It looks again after it has counted: a drain that began in between may
-// have found nobody at work, and would pass on idempotency keys without this request's.
+// It loads the current generation a second time after counting: a drain that began in between may have seen no
+// request in flight, and the daemon would transfer its idempotency keys without the one of this request.
 func (f *inFlight) begin() *generation {
 	f.total.Add(1)
 	for {
@@ -49,11 +49,10 @@
 
 const drainPollInterval = 10 * time.Millisecond
 
-// drain waits until the requests that are at work now have ended, at most for the limit.
+// drain waits until the requests that are in flight when it is called have ended, at most for the limit.
 //
-// Callers that don't go elsewhere send all the while. Were the wait for a moment without
-// any request, a daemon of a busy service would take its whole drain time, and
-// longer than the platform leaves it, to pass on its idempotency keys.
+// It doesn't wait for a moment without any request: some callers keep sending until the connection closes, so a daemon of a busy
+// service would use up its whole drain time, and be ended by the platform before it has transferred its idempotency keys.
 func (f *inFlight) drain(limit time.Duration) {
 	f.draining = append(f.draining, f.current.Swap(&generation{total: &f.total}))
 	for end := time.Now().Add(limit); f.pending() && time.Now().Before(end); {
@@ -61,7 +60,7 @@
 	}
 }
 
-// pending reports whether a request that began before the last drain is at work.
+// pending reports whether a request that began before the last drain is still in flight.
 func (f *inFlight) pending() bool {
 	f.draining = slices.DeleteFunc(f.draining, func(g *generation) bool { return g.count.Load() <= 0 })
 	return len(f.draining) > 0
--- a/internal/app/daemon/keys.go
+++ b/internal/app/daemon/keys.go
@@ -2,11 +2,10 @@
 
 import "github.com/foxtailhook/foxtailhook/internal/domain/lists"
 
-// keyCheck returns a check of whether the key that was in force in the view still is.
+// keyCheck returns a function that reports whether the key that was valid in the view still is.
 //
-// A key may be withdrawn while a request of its organisation waits in a queue or
-// for a second attempt. Run after that, it would be work for a caller that was
-// shut out. Where the list has not changed since, the check is one comparison.
+// A key may be withdrawn while a request waits in a queue or before a retry; running it afterwards would be work for a
+// caller that no longer has access. While the list of keys is unchanged, the check costs one comparison.
 func (d *Daemon) keyCheck(admitted *lists.View, key, organisation string) func() bool {
 	version := admitted.Version(lists.KindKeys)
 	return func() bool {
@@ -19,5 +18,5 @@
 	}
 }
 
-// hasValidKey reports whether the key that came with the request is still in force.
-func (a *admitted) hasValidKey() bool { return a.keyValid == nil || a.keyValid() }
+// hasValidKey reports whether the key that came with the request is still valid.
+func (a *admittedRequest) hasValidKey() bool { return a.keyValid == nil || a.keyValid() }
--- a/internal/app/daemon/leaving.go
+++ b/internal/app/daemon/leaving.go
@@ -7,12 +7,11 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// stop leaves: callers are served on and told to connect elsewhere, other
-// daemons are given time to notice, what was taken is finished, idempotency keys
-// are passed on, and only then connections close.
+// stop shuts the daemon down in stages: callers are still served but told to connect to other hosts, other daemons get time
+// to notice, the requests in flight are finished, idempotency keys are transferred, and only then connections close.
 //
-// Refusing callers at once would lose requests that came in before the platform
-// told anyone of the leave: they are placed on other hosts instead.
+// Refusing callers at once would lose the requests that arrive before the platform has announced the leave; they
+// are placed on other hosts instead.
 func (d *Daemon) stop() {
 	d.leaving.Store(true)
 	d.log.Info("leaving")
@@ -35,11 +34,11 @@
 	d.log.WithField("inFlight", d.inFlight.total.Load()).Info("stopped")
 }
 
-// drain waits until the requests at work here have ended, at most for the drain time.
+// drain waits until the requests in flight have ended, at most for the drain time.
 func (d *Daemon) drain() { d.inFlight.drain(d.settings.DrainTime) }
 
-// candidates returns the hosts on which a request of the service can be placed.
-// A leaving daemon places on its own upstream only if there is no other host.
+// candidates returns the hosts on which a request of the service can be placed. A leaving daemon uses its own upstream
+// only if there is no other host.
 func (d *Daemon) candidates(service string) []lists.Host {
 	hosts := d.usable(service)
 	if !d.leaving.Load() || service != d.settings.Service {
--- a/internal/app/daemon/memory.go
+++ b/internal/app/daemon/memory.go
@@ -7,22 +7,21 @@
 )
 
 const (
-	// largeValueBytes is the size of a list from which its reading leaves megabytes behind.
+	// largeValueBytes is the size from which reading a list leaves megabytes of garbage.
 	largeValueBytes = 64 << 10
-	// releaseDelay gathers the lists that come together, as at a start.
+	// releaseDelay lets lists that arrive together, as at a start, share one collection.
 	releaseDelay = 2 * time.Second
-	// minReleaseInterval bounds what lists that change all the time cost: a collection takes as long as reading one of them.
+	// minReleaseInterval bounds the cost of lists that change all the time, since a collection takes as long as reading one of them.
 	minReleaseInterval = 5 * time.Second
 )
 
-// noteLargeValue collects often from now on, and gives memory back a little later; it is called when a large list
-// is read or handed out.
+// noteLargeValue is called when a list is read or sent. For a large one it makes the garbage collector run more often
+// and returns memory to the operating system a little later.
 //
-// Reading a megabyte of JSON leaves several times as much garbage, and handing it out a copy for each peer. The runtime
-// collects it at the next doubling of the heap, so the process would grow to twice
-// what it needs, and a daemon without much traffic may not reach the next doubling for minutes; until then its
-// host's upstream lacks the memory.
-// One collection for each time that large lists come costs some milliseconds.
+// Reading a megabyte of JSON leaves several times as much garbage, and sending it to peers leaves a copy for each. The
+// runtime collects that only when the heap has doubled, so the process would grow to twice the size it needs, and a
+// daemon with little traffic may take minutes to get that far; until then the host's upstream lacks the memory.
+// One collection per batch of large lists costs some milliseconds.
 func (c *control) noteLargeValue(size int) {
 	if size < largeValueBytes {
 		return
@@ -45,7 +44,7 @@
 	})
 }
 
-// memoryReleased ends the sparing, unless another large list came while memory was given back.
+// memoryReleased restores the collector's setting, unless another large list came while memory was being released.
 func (c *control) memoryReleased() {
 	c.lastRelease = time.Now()
 	if c.largeValueSeen {
@@ -56,11 +55,11 @@
 	sharedGCTuner.end()
 }
 
-// largeValueGCPercent is the garbage collector's percentage while large lists come. At the runtime's default of 100 the
-// garbage of some lists adds as much as all that the daemon holds; less than 25 costs more processor time than it saves memory.
+// largeValueGCPercent is the GC percentage while large lists arrive. At the runtime's default of 100 the garbage of
+// several lists takes as much memory as all live data; below 25 it costs more processor time than it saves memory.
 const largeValueGCPercent = 25
 
-// gcTuner sets how often the process collects; all daemons of one process share it.
+// gcTuner sets the GC percentage of the process, which all its daemons share.
 type gcTuner struct {
 	mu       sync.Mutex
 	users    int
@@ -69,7 +68,7 @@
 
 var sharedGCTuner gcTuner
 
-// begin makes the process collect often until the matching end; a percentage that is smaller, or off, is the operator's wish and stays.
+// begin lowers the GC percentage until the matching end. A lower percentage, or off, was set by the operator and stays.
 func (c *gcTuner) begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +82,7 @@
 	}
 }
 
-// end brings back the percentage from before the first begin with the last end.
+// end restores the percentage from before the first begin when the last user has ended.
 func (c *gcTuner) end() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -16,11 +16,10 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// deduplicator lets a request that may not be repeated run once for its idempotency key.
+// deduplicator runs a request that must not be retried freely once per idempotency key.
 //
-// All attempts with a key meet at its holder, one of the service's hosts, which
-// remembers what became of the first. The holder places the request like any
-// other; only the memory has a fixed place.
+// All attempts with the same key go to its holder, one of the service's hosts, which remembers the outcome of the first
+// attempt. The holder dispatches the request like any other; only the record of the outcome is bound to a host.
 type deduplicator struct {
 	daemon     *Daemon
 	ledger     *ledger.Ledger
@@ -28,15 +27,15 @@
 	window     time.Duration
 	handedOver atomic.Bool
 
-	// addresses are those of the hosts that are asked, also of such that the list
-	// has dropped: only they can say that they have left the earlier list.
+	// addresses are those of the hosts that may be asked about a key. They include hosts that were dropped from the host
+	// list, since only these can confirm that they no longer act on the earlier list.
 	addresses atomic.Pointer[map[string]netip.AddrPort]
 }
 
 func newDeduplicator(d *Daemon) *deduplicator {
 	s := d.settings
-	// A repeat that was sent at the end of the window is still on its way for as
-	// long as a request may take. Forgotten meanwhile, it would run again.
+	// A client retry sent at the end of the window may still be on its way for as long as a request may take. If the key
+	// were forgotten before it arrives, the request would run a second time.
 	window := s.RepeatWindow + s.MaxTimeout
 	r := &deduplicator{
 		daemon:  d,
@@ -50,13 +49,13 @@
 	return r
 }
 
-// observe notes the hosts of the daemon's own service; it runs on the control thread.
+// observe records the hosts of the daemon's own service; it runs on the control goroutine.
 func (r *deduplicator) observe(view *lists.View, now time.Time) {
 	r.history.Observe(view.Version(lists.KindHosts), holders(view, r.daemon.settings.Service), now)
 	r.updateAddresses(view, now)
 }
 
-// updateAddresses keeps the addresses of the hosts that may be asked.
+// updateAddresses keeps the addresses of all hosts that may still be asked about a key.
 func (r *deduplicator) updateAddresses(view *lists.View, now time.Time) {
 	addresses := map[string]netip.AddrPort{}
 	if previous := r.addresses.Load(); previous != nil {
@@ -72,8 +71,7 @@
 	r.addresses.Store(&addresses)
 }
 
-// holders returns the hosts of a service among which keys are spread. A leaving
-// host passes on what it remembers, so it holds none.
+// holders returns the hosts of a service that may hold keys. A leaving host transfers its keys, so it holds none.
 func holders(view *lists.View, service string) []string {
 	var names []string
 	for _, h := range view.HostsOf(service) {
@@ -85,14 +83,14 @@
 }
 
 const (
-	// maxHolderAttempts and holderPause bound how long a request follows its key's
-	// holder while daemons take up a new host list one after another.
+	// maxHolderAttempts and holderRetryDelay bound how long a request looks for its key's holder while daemons
+	// apply a new host list one after another.
 	maxHolderAttempts = 4
 	holderRetryDelay  = 150 * time.Millisecond
 )
 
-// route runs a request at its key's holder if it must not be repeated, else anywhere.
-func (r *deduplicator) route(ctx context.Context, a admitted) call.Answer {
+// route sends a request with an idempotency key to the key's holder, unless its operation is idempotent, and all others to any host.
+func (r *deduplicator) route(ctx context.Context, a admittedRequest) call.Answer {
 	if a.request.Idempotent || a.request.IdempotencyKey == "" {
 		return r.daemon.dispatch(ctx, a)
 	}
@@ -114,7 +112,7 @@
 	return ledger.Key{Organisation: r.Organisation, Operation: r.Operation, Text: r.IdempotencyKey}
 }
 
-func (r *deduplicator) sendToHolder(ctx context.Context, a admitted) call.Answer {
+func (r *deduplicator) sendToHolder(ctx context.Context, a admittedRequest) call.Answer {
 	view := r.daemon.view.Load()
 	holder := ledger.Holder(keyOf(&a.request), holders(view, a.request.Service))
 	host, ok := view.Host(holder)
@@ -142,15 +140,15 @@
 		return reply.answer()
 	}
 	answer := r.daemon.forwardingFailure(sent, err)
-	// A holder in another region is nobody's neighbour: unless its requests raise a doubt, each
-	// of them waits for it until its own time is up, for as long as the regions are apart.
+	// The holder may be in another region, where this daemon exchanges no digests with it. Unless failed requests are
+	// reported, each of them would wait for the holder until its own deadline for as long as the regions are partitioned.
 	r.daemon.checkAnswer(host.Host, answer)
 	return answer
 }
 
 func (r *deduplicator) handleOnce(ctx context.Context, _ netip.AddrPort, req runRequest) runResult {
 	defer r.daemon.inFlight.begin().end()
-	a := admitted{request: *req.request(time.Now()), account: budget.New(req.Budget)}
+	a := admittedRequest{request: *req.request(time.Now()), account: budget.New(req.Budget)}
 	release, ok := r.daemon.callerServer.Hold(len(req.Body))
 	if !ok {
 		return newRunResult(bodyMemoryRefusal(&a.request))
@@ -161,8 +159,8 @@
 	return newRunResult(answer)
 }
 
-// runOnce is the holder's part: it runs the request, or answers what became of the one that came first.
-func (r *deduplicator) runOnce(ctx context.Context, a admitted) call.Answer {
+// runOnce runs a request on its key's holder, or returns the outcome of the request that used the key first.
+func (r *deduplicator) runOnce(ctx context.Context, a admittedRequest) call.Answer {
 	key := keyOf(&a.request)
 	if r.handedOver.Load() || ledger.Holder(key, r.history.Hosts()) != r.daemon.settings.Host {
 		return call.Refuse(call.Draining, time.Second)
@@ -194,11 +192,11 @@
 	}
 }
 
-// runNewKey runs the request of a key that is certainly new.
+// runNewKey runs the request if no other daemon knows its key.
 //
-// The run goes on when its first caller hangs up: it is bounded by its deadline,
-// and the caller comes back with the key for the answer.
-func (r *deduplicator) runNewKey(ctx context.Context, a admitted, key ledger.Key, t ledger.Ticket) call.Answer {
+// The run goes on if the caller disconnects: its deadline bounds it, and the caller may retry with the same key
+// to get the response.
+func (r *deduplicator) runNewKey(ctx context.Context, a admittedRequest, key ledger.Key, t ledger.Ticket) call.Answer {
 	answer, known := r.askOthers(ctx, key, t)
 	if known {
 		r.ledger.Release(key, time.Now())
@@ -213,7 +211,7 @@
 	return answer
 }
 
-// askOthers returns what the other daemons say of a key, or false if no request with it can have run.
+// askOthers asks the other daemons about a key and returns the response to give, or false if no request with the key can have run.
 func (r *deduplicator) askOthers(ctx context.Context, key ledger.Key, t ledger.Ticket) (call.Answer, bool) {
 	now := time.Now()
 	evidence := ledger.Evidence{
@@ -243,8 +241,8 @@
 	}
 }
 
-// undecided is the answer while hosts that may know of a key can't be reached. It
-// is no notRun: an attempt before this one may have run where they are.
+// undecided is the response while hosts that may know of a key can't be reached. Its outcome is unknown rather than
+// not run, since an earlier attempt may have run on one of those hosts.
 func (r *deduplicator) undecided(now time.Time) call.Answer {
 	answer := call.Lose(call.Undecided)
 	answer.RetryAfter = time.Second
@@ -255,11 +253,11 @@
 	return answer
 }
 
-// recallTimeout bounds how long the other daemons are waited for.
+// recallTimeout bounds the wait for the other daemons' replies about a key.
 const recallTimeout = 500 * time.Millisecond
 
-// recall asks every daemon that may hold the key, and learns from the same answers whether the host list is theirs too.
-// A suspect counts as silent without being asked: for as long as regions are apart, each key in doubt would wait recallTime for it.
+// recall asks every daemon that may know the key; the replies also confirm whether those daemons have the same host list.
+// Suspects count as not replying and aren't asked: while regions are partitioned, each new key would wait recallTimeout for them.
 func (r *deduplicator) recall(ctx context.Context, query recallRequest, now time.Time) map[string]ledger.RecallReply {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
@@ -296,7 +294,7 @@
 	return replies
 }
 
-// recallRequest asks what a daemon knows of a key, and that it lets go of it; without a key it asks for the host list only.
+// recallRequest asks what a daemon knows of a key, and to give the key up; without a key it asks for the host list only.
 type recallRequest struct {
 	Key   ledger.Key `msgpack:"key"`
 	Asker string     `msgpack:"asker"`
@@ -313,11 +311,11 @@
 	return reply
 }
 
-// confirmsPerWindow is how often a daemon asks whether its host list is still
-// the others' list; a confirmation lasts half the window, so several may fail.
+// confirmsPerWindow is how often per window a daemon asks whether the others have the same host list. A confirmation is
+// valid for half the window, so several may fail in a row.
 const confirmsPerWindow = 16
 
-// keepConfirmed keeps the host list confirmed until ctx ends, so that requests need not wait for it.
+// keepConfirmed confirms the host list periodically until ctx ends, so that requests need not wait for a confirmation.
 func (r *deduplicator) keepConfirmed(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.recall(ctx, recallRequest{Asker: r.daemon.settings.Host}, time.Now())
@@ -325,14 +323,14 @@
 	}
 }
 
-// keyTransfer is the memory of a daemon that leaves.
+// keyTransfer carries the key records of a leaving daemon.
 type keyTransfer struct {
 	From    string          `msgpack:"from"`
 	Records []ledger.Record `msgpack:"records"`
 	Age     time.Duration   `msgpack:"age"`
 }
 
-// transferReply tells whether a message was taken over.
+// transferReply reports whether the records of a keyTransfer were stored.
 type transferReply struct {
 	OK bool `msgpack:"ok"`
 }
@@ -341,11 +339,11 @@
 	return transferReply{OK: r.ledger.Inherit(transfer.From, transfer.Records, transfer.Age, time.Now())}
 }
 
-// transferTimeout bounds how long a leaving daemon waits for the others to take over its memory.
+// transferTimeout bounds how long a leaving daemon waits for the others to store its records.
 const transferTimeout = 2 * time.Second
 
-// transferKeys gives the memory to every other host of the service, so that a restart of
-// all hosts one by one loses no key; after it this daemon holds no keys.
+// transferKeys sends the key records to every other host of the service, so that a rolling restart loses no
+// key. Afterwards this daemon holds no keys.
 func (r *deduplicator) transferKeys() {
 	r.handedOver.Store(true)
 	r.daemon.drain()
--- a/internal/app/daemon/once_test.go
+++ b/internal/app/daemon/once_test.go
@@ -36,8 +36,8 @@
 	return table.View(since)
 }
 
-func keyedRequest() admitted {
-	return admitted{account: budget.New(8), request: call.Request{
+func keyedRequest() admittedRequest {
+	return admittedRequest{account: budget.New(8), request: call.Request{
 		Organisation: "dealer", Operation: "lookup.book", Service: "lookup", IdempotencyKey: "k", Budget: 8, Deadline: time.Now().Add(time.Minute),
 	}}
 }
--- a/internal/app/daemon/operators.go
+++ b/internal/app/daemon/operators.go
@@ -10,7 +10,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// Status is what /statusz tells of a daemon.
+// Status is the body of /statusz.
 type Status struct {
 	Host        string                `json:"host"`
 	Service     string                `json:"service"`
@@ -27,13 +27,13 @@
 	Connections int                   `json:"peerConnections"`
 	SentBytes   uint64                `json:"peerBytesSent"`
 	GotBytes    uint64                `json:"peerBytesReceived"`
-	// Messages has the bytes of frames between daemons by the kind of message.
+	// Messages has the bytes of frames between daemons by kind of message.
 	Messages map[string]peer.Bytes `json:"peerMessages"`
 	Reads    uint64                `json:"platformReads"`
 	Rates    RateStatus            `json:"rates"`
 }
 
-// ListStatus tells which version of a list is in force and which was rejected.
+// ListStatus reports which version of a list is in force and which was rejected.
 type ListStatus struct {
 	Version  uint64           `json:"version"`
 	Rejected *lists.Rejection `json:"rejected,omitempty"`
--- a/internal/app/daemon/owner.go
+++ b/internal/app/daemon/owner.go
@@ -13,12 +13,12 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// executor runs requests on the upstream beside the daemon, as many at once as its gate lets through.
+// executor runs requests on the local upstream, up to the concurrency limit of its gate.
 type executor struct {
 	gate     *admission.Gate
 	upstream *upstream.Client
 	runs     *activeRuns
-	// subCallNeeds is what the upstream's own calls need for each operation.
+	// subCallNeeds is the budget that the upstream's sub-calls are expected to need, by operation.
 	subCallNeeds *budget.Needs
 }
 
@@ -32,8 +32,8 @@
 	return &executor{gate: gate, upstream: u, runs: newActiveRuns(), subCallNeeds: budget.NewNeeds()}
 }
 
-// run runs the request, or refuses it before the upstream has seen it. After a
-// wait it asks still whether the request may still run; nil means that it may.
+// run runs the request, or refuses it before the upstream has seen it. After the wait in the queue it calls keyValid
+// and refuses the request if that returns false; nil means that no check is needed.
 func (o *executor) run(ctx context.Context, r *call.Request, keyValid func() bool) call.Answer {
 	t := &admission.Ticket{
 		Organisation: r.Organisation, Operation: r.Operation, Weight: r.Weight, Priority: r.Priority,
@@ -51,11 +51,11 @@
 
 const maxRefusalTime = 20 * time.Millisecond
 
-// refusalTime returns the time that a refusal from the queue needs to be heard before the request's time is up.
+// refusalTime returns how long before the deadline a queued request must be refused, so that the refusal arrives in time.
 //
-// On busy hosts, where requests wait, threads do so too. A booking that left
-// the queue in its last milliseconds would be called unknown by the daemon that
-// handed it on, and its caller sent to look for something that never ran.
+// On hosts so busy that requests wait, goroutines wait for a processor too. Without this reserve, a request refused in
+// its last milliseconds would be reported as having an unknown outcome by the daemon that forwarded it, and its caller
+// would look for the effects of a request that never ran.
 func refusalTime(remaining time.Duration) time.Duration { return reserve(remaining, maxRefusalTime) }
 
 func (o *executor) refuse(r *call.Request, d admission.Decision) call.Answer {
@@ -65,7 +65,7 @@
 	return answer
 }
 
-// execute runs an admitted request; the gate is settled however it ends.
+// execute runs an admitted request and settles the gate whatever the outcome.
 func (o *executor) execute(ctx context.Context, r *call.Request, t *admission.Ticket) call.Answer {
 	granted := r.Budget - 1
 	account := budget.NewFor(granted, o.subCallNeeds.Expect(r.Operation, r.Depth+1))
@@ -88,8 +88,8 @@
 	return answer
 }
 
-// gateResult tells the gate how a run ended. A caller that hung up, or an upstream
-// that could not be reached, says nothing about how much the upstream can run.
+// gateResult classifies a run for the concurrency limit. A caller that disconnected, or an upstream that could not be
+// reached, is no evidence of how many requests the upstream can run at once.
 func gateResult(a call.Answer, ownTime time.Duration) admission.Result {
 	r := admission.Result{Own: ownTime}
 	switch {
@@ -101,9 +101,9 @@
 	return r
 }
 
-// checkNotRun checks an upstream's word that it did not run a request against what
-// the request's own calls have spent. An upstream that passes on the refusal of a
-// later call, after an earlier one ran, would have the caller pay twice.
+// checkNotRun accepts an upstream's claim that it did not run a request only if the request's sub-calls have spent
+// nothing. An upstream may pass on the refusal of a later sub-call although an earlier one ran; if the claim were
+// believed, the caller would send the request again and, for instance, pay twice.
 func checkNotRun(r *call.Request, a call.Answer, left int) call.Answer {
 	given := r.Budget - 1
 	if a.Outcome == call.NotRun && left < given {
--- a/internal/app/daemon/path.go
+++ b/internal/app/daemon/path.go
@@ -6,18 +6,17 @@
 	"strings"
 )
 
-// target is what a caller's path names.
+// target is the service and resource that a caller's URL names.
 type target struct {
 	service string
-	// path is unescaped, for finding the operation.
+	// path is unescaped and used to find the operation.
 	path string
-	// requestURI is as the caller wrote it, with the query, for the upstream.
+	// requestURI is the escaped path as the caller wrote it, with the query; it is forwarded to the upstream.
 	requestURI string
 }
 
-// locate cuts /service/path; false means that the path has empty or dot
-// segments. An upstream may resolve those, so that a path that begins like an
-// allowed operation ends at another.
+// locate splits /service/path; false means that the path has empty or dot segments or is badly escaped. An
+// upstream may resolve such segments, so that a path which matches an allowed operation would reach another one.
 func locate(u *url.URL) (target, bool) {
 	service, rest, _ := strings.Cut(strings.TrimPrefix(u.EscapedPath(), "/"), "/")
 	dest := target{service: service, path: "/" + rest, requestURI: "/" + rest}
@@ -32,7 +31,7 @@
 	return dest, true
 }
 
-// hasUncleanSegments reports whether a path that begins with a slash has empty or dot segments, but for a slash at its end.
+// hasUncleanSegments reports whether a path that begins with a slash has empty or dot segments; one trailing slash is allowed.
 func hasUncleanSegments(path string) bool {
 	inner := strings.TrimSuffix(strings.TrimPrefix(path, "/"), "/")
 	if inner == "" {
--- a/internal/app/daemon/pressure_test.go
+++ b/internal/app/daemon/pressure_test.go
@@ -63,7 +63,7 @@
 			}))
 			defer server.Close()
 			d = singleHostDaemon(netip.MustParseAddrPort(server.Listener.Addr().String()))
-			a := admitted{account: budget.New(4), request: call.Request{
+			a := admittedRequest{account: budget.New(4), request: call.Request{
 				ID: "r1", Organisation: "dealer", Operation: "lookup.find", Service: "lookup", Method: http.MethodPost, Path: "/",
 				Header: http.Header{}, Deadline: time.Now().Add(time.Minute), Priority: call.Interactive,
 			}}
--- a/internal/app/daemon/rates.go
+++ b/internal/app/daemon/rates.go
@@ -14,8 +14,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// rateLimiter joins the fleet's rateLimiter to the sockets. The home belongs to the
-// control thread; traffic spends from the borrower.
+// rateLimiter connects the distributed rate limits to the network. Only the control goroutine uses the home, which owns
+// this daemon's shards of the rates and lends their tokens; requests spend tokens from the borrower.
 type rateLimiter struct {
 	daemon   *Daemon
 	home     *rate.Home
@@ -29,7 +29,7 @@
 	returned      atomic.Uint64
 	mayLend       atomic.Bool
 	listsComplete time.Time
-	// configured are the versions of the lists that were taken over.
+	// configured holds the versions of the lists that were applied last.
 	configured [2]uint64
 	ready      atomic.Bool
 	cancel     context.CancelFunc
@@ -60,7 +60,7 @@
 	peer.Handle(n, peer.KindHandover, r.handleConfirm)
 }
 
-// configure takes over a new view; it runs on the control thread.
+// configure applies a new view; it runs on the control goroutine.
 func (r *rateLimiter) configure(view *lists.View) {
 	now := time.Now()
 	versions := rateVersions(view)
@@ -77,8 +77,8 @@
 	}
 }
 
-// rateVersions returns the versions of the lists that rates depend on. Keys and uses
-// change without the rates of all organisations being gone through again.
+// rateVersions returns the versions of the lists that rates depend on. Changes of the other lists, keys and uses, don't
+// make it necessary to go through the rates of all organisations.
 func rateVersions(view *lists.View) [2]uint64 {
 	return [2]uint64{view.Version(lists.KindHosts), view.Version(lists.KindPlans)}
 }
@@ -95,14 +95,14 @@
 	r.borrower.SetPlans(organisations)
 }
 
-// Times of the questions between daemons.
+// Intervals and timeouts of the messages between daemons.
 const (
-	// confirmInterval is the time between two questions to members while there are some to ask.
+	// confirmInterval is the interval of membership requests while there are members to ask.
 	confirmInterval = 20 * time.Millisecond
-	// confirmTimeout is how long an answer about membership is waited for; it counts from when it was asked.
+	// confirmTimeout bounds the wait for a reply about membership, from the time of the request.
 	confirmTimeout = 2 * time.Second
-	// leaseTimeout is how long one home may take while a request waits: a round trip to
-	// another region, but not a home that hangs, while others have tokens.
+	// leaseTimeout bounds the wait for one home while requests wait: long enough for a round trip to another region,
+	// but a home that hangs must not keep them from homes that have tokens.
 	leaseTimeout = 50 * time.Millisecond
 )
 
@@ -129,7 +129,7 @@
 		case <-ticker.C:
 		}
 		interval := rate.TickEvery
-		if r.confirmNext(ctx) {
+		if r.askNextMember(ctx) {
 			interval = confirmInterval
 		}
 		ticker.Reset(interval)
@@ -151,8 +151,8 @@
 	})
 }
 
-// readyTimeout is how long a daemon waits for its own part of the rates before it
-// takes callers all the same: other homes may have tokens for it.
+// readyTimeout is how long a daemon waits until it may lend tokens of its own shards before it accepts callers
+// all the same, since other homes may have tokens for it.
 const readyTimeout = 3 * time.Second
 
 func (r *rateLimiter) updateStatus(now time.Time) {
@@ -170,8 +170,8 @@
 	scope.Gauge(telemetry.RateAsks).Update(float64(r.leaseRequests.Load()))
 }
 
-// confirmNext asks the next member what it knows of membership, and reports whether there was one to ask.
-func (r *rateLimiter) confirmNext(ctx context.Context) bool {
+// askNextMember asks the next member for its view of the membership, and reports whether there was one to ask.
+func (r *rateLimiter) askNextMember(ctx context.Context) bool {
 	var to rate.Member
 	var ask rate.Statement
 	due := false
@@ -182,25 +182,25 @@
 		}
 	})
 	if due {
-		go r.confirm(ctx, to, ask, asked)
+		go r.confirmWith(ctx, to, ask, asked)
 	}
 	return due
 }
 
-func (r *rateLimiter) confirm(ctx context.Context, to rate.Member, ask rate.Statement, asked time.Time) {
+func (r *rateLimiter) confirmWith(ctx context.Context, to rate.Member, ask rate.Statement, asked time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	answer, err := peer.Call[rate.Statement, rate.Statement](ctx, r.daemon.peers, to.Peer, peer.KindConfirm, ask)
-	if err != nil || answer.From != to {
+	reply, err := peer.Call[rate.Statement, rate.Statement](ctx, r.daemon.peers, to.Peer, peer.KindConfirm, ask)
+	if err != nil || reply.From != to {
 		return
 	}
-	r.daemon.control.do(func() { r.home.Hear(answer, asked, time.Now()) })
+	r.daemon.control.do(func() { r.home.Hear(reply, asked, time.Now()) })
 }
 
 func (r *rateLimiter) handleConfirm(_ context.Context, _ netip.AddrPort, ask rate.Statement) rate.Statement {
-	var answer rate.Statement
-	r.daemon.control.do(func() { answer = r.home.AnswerStatement(ask, time.Now()) })
-	return answer
+	var reply rate.Statement
+	r.daemon.control.do(func() { reply = r.home.AnswerStatement(ask, time.Now()) })
+	return reply
 }
 
 func (r *rateLimiter) handleLease(_ context.Context, _ netip.AddrPort, ask rate.LeaseAsk) rate.LeaseReply {
@@ -209,7 +209,7 @@
 	return reply
 }
 
-// requestLease asks a home, takes its answer over and returns the time until it has a token.
+// requestLease asks a home for tokens, applies the reply and returns the time until the home has a token.
 func (r *rateLimiter) requestLease(ctx context.Context, ask rate.Ask) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
@@ -217,8 +217,8 @@
 	if ask.Home == r.self {
 		return r.borrower.Hear(ask.Home, r.handleLease(ctx, netip.AddrPort{}, ask.Message), asked, time.Now())
 	}
-	// Homes in a region that is away would be asked one after the other by each search, until no time is
-	// left for those that can answer; and nobody else may notice that they are away.
+	// If the homes of an unreachable region were asked, each search would try them one after another until no time is left
+	// for the homes that can reply. A lease request may be the only message to them, so its failure is reported below.
 	if r.daemon.members.Load().Suspect(ask.Home.Host) {
 		r.borrower.Lost(ask, asked)
 		return rate.UnsettledWait
@@ -233,11 +233,11 @@
 	return r.borrower.Hear(ask.Home, reply, asked, time.Now())
 }
 
-// handoverTimeout is how long a leaving daemon tries to tell the others.
+// handoverTimeout bounds how long a leaving daemon tries to reach the other members.
 const handoverTimeout = 500 * time.Millisecond
 
-// handOverShards gives this daemon's shards up and says so to the others, so that they
-// need not wait for the fence. A message that is lost costs time, no safety.
+// handOverShards gives up this daemon's shards and tells the other members, so that they need not wait for the fence.
+// A lost message delays the handover but never lets two daemons lend the same tokens.
 func (r *rateLimiter) handOverShards() {
 	var others []rate.Member
 	var last rate.Statement
@@ -267,10 +267,10 @@
 	r.daemon.log.WithFields(logrus.Fields{"told": count, "of": len(others)}).Info("shards handed over")
 }
 
-// maxHandovers bounds the calls in flight of a leaving daemon.
+// maxHandovers is the maximum number of handover messages in flight.
 const maxHandovers = 16
 
-// RateStatus is what /statusz tells of the rates; times are RFC 3339, empty where there is none.
+// RateStatus is the part of /statusz on rate limits; times are in RFC 3339, or empty if not set.
 type RateStatus struct {
 	MayLend       bool   `json:"mayLend"`
 	HostsVersion  uint64 `json:"hostsVersion"`
@@ -287,7 +287,7 @@
 	FencedUntil   string `json:"fencedUntil"`
 }
 
-// status runs on the control thread.
+// status runs on the control goroutine.
 func (r *rateLimiter) status(now time.Time) RateStatus {
 	s := r.home.Status(now)
 	_, cached := r.borrower.Purses(now)
--- a/internal/app/daemon/reading.go
+++ b/internal/app/daemon/reading.go
@@ -16,18 +16,18 @@
 const (
 	minRetryDelay  = 200 * time.Millisecond
 	maxRetryJitter = 800 * time.Millisecond
-	// versionCheckWait is the wait of a read that only asks whether there is something newer.
+	// versionCheckWait is the long-poll wait of a read that only checks for a newer version.
 	versionCheckWait = time.Millisecond
 )
 
-// updateWatches starts or ends the watches as this daemon becomes one of its zone's readers or stops being one.
+// updateWatches starts or ends the watches as this daemon becomes one of its availability zone's readers or stops being one.
 func (c *control) updateWatches() {
-	isReader := c.core.Reads(c.unusable)
-	if isReader == (c.stopReading != nil) {
+	shouldRead := c.core.Reads(c.unusable)
+	if shouldRead == (c.stopReading != nil) {
 		return
 	}
-	c.daemon.log.WithField("reader", isReader).Info("platform")
-	if !isReader {
+	c.daemon.log.WithField("reader", shouldRead).Info("platform")
+	if !shouldRead {
 		c.stopReading()
 		c.stopReading = nil
 		return
@@ -41,8 +41,8 @@
 	}
 }
 
-// watch follows one list while this daemon is a reader. After a failure it
-// waits a random time, so that the end of an outage starts no stampede.
+// watch follows one list while this daemon is a reader. After a failure it waits a random time, so that the end of an
+// outage doesn't make all readers ask at once.
 func (c *control) watch(ctx context.Context, kind lists.Kind, after uint64) {
 	for ctx.Err() == nil {
 		started := time.Now()
@@ -63,8 +63,8 @@
 	}
 }
 
-// readLists asks the platform for the hosts list or every list once. A list that this daemon has no
-// version of is waited for, so that a platform without lists isn't polled.
+// readLists reads the host list or all lists from the platform once. For a list of which this daemon has no version it
+// long-polls, so that a platform without lists isn't polled in a tight loop.
 func (c *control) readLists(what spread.Read, started time.Time) {
 	if c.reading {
 		return
@@ -75,16 +75,16 @@
 		first = 0
 	}
 	c.done.Go(func() {
-		var all sync.WaitGroup
+		var reads sync.WaitGroup
 		var failures sync.Map
 		for k := first; int(k) < lists.Kinds; k++ {
-			all.Go(func() {
+			reads.Go(func() {
 				if err := c.readList(k); err != nil {
 					failures.Store(k, err)
 				}
 			})
 		}
-		all.Wait()
+		reads.Wait()
 		failed := false
 		failures.Range(func(_, err any) bool {
 			failed = true
--- a/internal/app/daemon/seek.go
+++ b/internal/app/daemon/seek.go
@@ -9,12 +9,12 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// searchTimeout is how long requests wait for tokens while no home can say how it stands and none of them
-// gets one; when homes can, they are refused at once. It counts from the last token and not from the search's
-// beginning: one search follows requests that come without a pause for as long as they come.
+// searchTimeout is how long requests wait for tokens while no home can tell when it will have one and no waiting request
+// gets one; if homes can tell, requests are refused at once. It counts from the last token, not from the start of the
+// search, since one search goes on for as long as requests keep joining it.
 const searchTimeout = 500 * time.Millisecond
 
-// tokenSearches are the searches for tokens that requests wait for, one for each organisation.
+// tokenSearches holds the running searches for tokens, one for each organisation.
 type tokenSearches struct {
 	mu     *sync.Mutex
 	active map[string]*tokenSearch
@@ -24,8 +24,8 @@
 	return tokenSearches{mu: &sync.Mutex{}, active: map[string]*tokenSearch{}}
 }
 
-// tokenSearch asks home after home. A burst of requests at a dry daemon must not
-// become as many questions, so those that come meanwhile wait for the same ones.
+// tokenSearch asks one home after another for tokens. All requests that wait for tokens of the organisation share
+// it, so that a burst of requests at a daemon without tokens doesn't become a burst of lease requests.
 type tokenSearch struct {
 	mu         sync.Mutex
 	changed    chan struct{}
@@ -33,12 +33,12 @@
 	done       bool
 	exhausted  bool
 	retryAfter time.Duration
-	// lastToken is when the search began, or when one of those that wait last got a token.
+	// lastToken is when a waiting request last got a token, or when the search began.
 	lastToken time.Time
 }
 
-// Spend takes a token of the organisation. If none is here it waits, bounded, for
-// homes to lend one; false comes with the time after which to come back.
+// Spend takes a token of the organisation. If none is cached, it waits, for a bounded time, until homes lend one; false
+// comes with the time after which to retry.
 func (r *rateLimiter) Spend(ctx context.Context, organisation string) (rate.Token, time.Duration, bool) {
 	switch token, outcome, wait := r.borrower.Spend(organisation, time.Now()); outcome {
 	case rate.Spent:
@@ -73,15 +73,15 @@
 	}
 }
 
-// returnToken returns the token of a request that did not run; a chained request has none.
-func (r *rateLimiter) returnToken(a *admitted) {
+// returnToken returns the token of a request that did not run; a sub-call has none.
+func (r *rateLimiter) returnToken(a *admittedRequest) {
 	if r.borrower.GiveBack(a.request.Organisation, a.token, time.Now()) {
 		r.daemon.metrics.Counter(telemetry.RateGivenBack).Inc(1)
 		r.returned.Add(1)
 	}
 }
 
-// joinSearch returns the search that is going on for the organisation, starting one if there is none.
+// joinSearch adds a waiter to the organisation's running search, and starts a search if there is none.
 func (r *rateLimiter) joinSearch(organisation string) *tokenSearch {
 	r.searches.mu.Lock()
 	defer r.searches.mu.Unlock()
@@ -108,8 +108,8 @@
 	s.finish(wait, exhausted)
 }
 
-// search asks all homes again while some have more than was asked for, since
-// requests join meanwhile, and once more for the fractions that they hold.
+// search asks all homes again while some have more tokens than were asked for, since further requests join
+// meanwhile, and one more time for the fractions of a token that they hold.
 func (r *rateLimiter) search(organisation string, s *tokenSearch) (wait time.Duration, exhausted bool) {
 	need := rate.Waiting
 	for s.hasWaiters() {
@@ -120,7 +120,7 @@
 		}
 		wait, certain = r.askHomes(deadline, organisation, s, need)
 		if r.borrower.Stock(organisation, time.Now()) > 0 {
-			// What was asked for ahead of need may have come too, and nobody else tells of it.
+			// Prefetched tokens may have arrived as well, and only this wakes the waiters for them.
 			s.wakeWaiters()
 		}
 		if wait == 0 {
@@ -141,16 +141,15 @@
 	return wait, false
 }
 
-// maxTokenWait is how soon a home must expect a token for it to be waited for
-// before the homes are asked once more: a caller inside its rate should not be refused for a few milliseconds,
-// and one far over it should hear so at once.
+// maxTokenWait is the longest wait for a home's next token before the homes are asked one more time. A caller within its
+// rate limit should not be refused for a few milliseconds, and one far above it should be refused at once.
 const maxTokenWait = 20 * time.Millisecond
 
-// unsettledDelay stands between rounds in which no home could say how it stands.
+// unsettledDelay is the pause between rounds in which no home could tell when it will have a token.
 const unsettledDelay = 10 * time.Millisecond
 
-// askHomes asks each home once, as long as requests wait and the time is not up, and returns the
-// shortest time until one has a token, and whether any could tell.
+// askHomes asks each home once, while requests wait and the deadline is not reached. It returns the shortest time until
+// a home has a token, and whether any home could tell.
 func (r *rateLimiter) askHomes(deadline time.Time, organisation string, s *tokenSearch, need rate.Need) (wait time.Duration, certain bool) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
@@ -180,14 +179,14 @@
 	return s.changed, s.done, s.exhausted, s.retryAfter
 }
 
-// recordToken notes that one of those that wait got a token.
+// recordToken records that a waiting request got a token.
 func (s *tokenSearch) recordToken(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastToken = now
 }
 
-// deadline returns when the search deadline unless somebody gets a token before.
+// deadline returns when the search ends if no waiting request gets a token before.
 func (s *tokenSearch) deadline() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/app/daemon/spreading.go
+++ b/internal/app/daemon/spreading.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// exchangeTimeout bounds the wait for a peer's digest; with two failures in a row it is a suspect.
+	// exchangeTimeout bounds the wait for a peer's digest; after two failures in a row the peer is a suspect.
 	exchangeTimeout = time.Second
-	// fetchTimeout bounds the wait for a value of up to a megabyte.
+	// fetchTimeout bounds the wait for a list of up to a megabyte.
 	fetchTimeout = 3 * time.Second
 )
 
-// errPeerStopped means that the peer's control thread has ended, so that its answer says nothing.
-var errPeerStopped = errors.New("daemon: the peer is ending")
+// errPeerStopped means that the peer's control goroutine has ended, so that its reply carries no state.
+var errPeerStopped = errors.New("daemon: the control goroutine of the peer has ended")
 
-// tick looks at the clock: what is due is begun, and the daemon's standing follows.
+// tick does the timed work that is due and updates the serving state.
 func (c *control) tick(now time.Time) {
 	c.perform(c.core.Tick(now, c.unusable), now)
 	for _, h := range c.members.Doubtful(now) {
@@ -33,7 +33,7 @@
 	c.publishState(now)
 }
 
-// unusable tells which hosts are passed over for digests and as readers.
+// unusable reports whether a host is skipped for digests and as a reader.
 func (c *control) unusable(host string) bool {
 	view := c.daemon.members.Load()
 	return c.members.Suspect(host) || view.Leaving(host)
@@ -51,7 +51,7 @@
 	}
 }
 
-// digest is what this daemon tells of itself.
+// digest returns the state that this daemon sends to its peers.
 func (c *control) digest(now time.Time) spread.Digest {
 	var versions spread.Versions
 	for k := range versions {
@@ -63,17 +63,17 @@
 	}
 }
 
-// exchange sends a digest to a peer and takes its answer when it comes.
+// exchange sends a digest to a peer and handles the reply when it comes.
 func (c *control) exchange(to netip.AddrPort, now time.Time) {
 	if c.exchanging[to] {
 		return
 	}
 	c.exchanging[to] = true
-	own := c.digest(now)
+	digest := c.digest(now)
 	c.done.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, exchangeTimeout)
 		defer cancel()
-		theirs, err := peer.Call[spread.Digest, spread.Digest](ctx, c.daemon.peers, to, peer.KindDigest, own)
+		theirs, err := peer.Call[spread.Digest, spread.Digest](ctx, c.daemon.peers, to, peer.KindDigest, digest)
 		if err == nil && theirs.Host == "" {
 			err = errPeerStopped
 		}
@@ -97,7 +97,7 @@
 	c.publishState(now)
 }
 
-// handleDigest answers a peer's digest with the own one.
+// handleDigest handles a peer's digest and replies with this daemon's own.
 func (d *Daemon) handleDigest(_ context.Context, _ netip.AddrPort, theirs spread.Digest) spread.Digest {
 	var own spread.Digest
 	d.control.do(func() {
@@ -111,7 +111,7 @@
 	return own
 }
 
-// handleFetch answers a peer that asks for a list's value.
+// handleFetch replies to a peer that fetches a list.
 func (d *Daemon) handleFetch(ctx context.Context, _ netip.AddrPort, request spread.Fetch) spread.Packet {
 	var packet spread.Packet
 	var wait time.Duration
@@ -125,17 +125,17 @@
 }
 
 const (
-	// largeValueInterval is the time between two large values that a daemon hands out whole.
+	// largeValueInterval is the time between two large lists that a daemon sends in full.
 	largeValueInterval = 25 * time.Millisecond
-	// maxLargeValueWait bounds the wait for one's turn; a peer asks again after 400 ms, elsewhere if it can.
+	// maxLargeValueWait bounds how long a reply is delayed; a peer retries after 400 ms, at another daemon if it can.
 	maxLargeValueWait = 300 * time.Millisecond
 )
 
-// packet returns what a peer asks for and how long to hold it back, or nothing if too many wait for a large value.
+// packet returns the list that a peer fetches and how long to delay the reply, or nothing if too many peers wait for a large list.
 //
-// When a zone starts, the first who has the lists is asked by everyone at once. A value of a megabyte is
-// copied several times on its way out, so that ten at a time take what the daemon may hold altogether.
-// Who gets nothing asks again a moment later, and by then others have the value too.
+// When an availability zone starts, all its daemons fetch from the first one that has the lists. A list of a megabyte is
+// copied several times while it is sent, so that ten at a time would use all the memory that the daemon may hold. A peer
+// that gets nothing retries shortly after, and by then other daemons have the list too.
 func (c *control) packet(request spread.Fetch, now time.Time) (spread.Packet, time.Duration) {
 	packet := c.archive.Packet(request)
 	if len(packet.Whole) < largeValueBytes {
@@ -154,7 +154,7 @@
 	return packet, wait
 }
 
-// fetch gets a newer value from a peer, as splices onto the own one where they fit.
+// fetch gets a newer list from a peer, as splices onto this daemon's version where they fit.
 func (c *control) fetch(from spread.Source) {
 	have := c.set.Value(from.Kind)
 	have.Kind = from.Kind
@@ -193,7 +193,7 @@
 	return packet.Open(have)
 }
 
-// applyMembership takes a peer's word on itself and what it passes on of others.
+// applyMembership records the state that a peer reports of itself and the news that it forwards of others.
 func (c *control) applyMembership(digest spread.Digest, now time.Time) {
 	changed := c.members.Hear(member.News{Host: digest.Host, Incarnation: digest.Incarnation, Leaving: digest.Leaving}, now)
 	for _, n := range digest.News {
@@ -208,8 +208,8 @@
 	}
 }
 
-// refuteLeaving answers word that this daemon is leaving while it isn't: the clock of its
-// host was set back between two starts, so its new incarnation is the lower one.
+// refuteLeaving refutes news that this daemon is leaving while it isn't. Such news comes from before a restart between which
+// the host's clock was set back, so that the new incarnation is lower than the old one.
 func (c *control) refuteLeaving(news member.News) {
 	if news.Leaving && !c.leaving && news.Incarnation >= c.incarnation {
 		c.incarnation = news.Incarnation + 1
@@ -223,7 +223,7 @@
 	}
 }
 
-// announceLeaving tells others that this daemon is leaving, so that none hands it new work.
+// announceLeaving tells the other daemons that this one is leaving, so that none sends it new work.
 func (c *control) announceLeaving() {
 	c.do(func() {
 		now := time.Now()
--- a/internal/app/daemon/standing.go
+++ b/internal/app/daemon/standing.go
@@ -7,34 +7,32 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/spread"
 )
 
-// servingState is the control thread's last word on whether the lists are current.
+// servingState says whether the control goroutine, when it last checked, considered the lists current.
 type servingState struct {
 	spread.Standing
 	checked time.Time
-	// since is when this standing began.
+	// since is when the daemon entered this state.
 	since time.Time
 }
 
-// acceptsCallers reports whether callers' requests are taken at this moment.
+// acceptsCallers reports whether callers' requests are accepted at this moment.
 func (d *Daemon) acceptsCallers(now time.Time) bool {
 	s := d.servingState.Load()
 	return s.Takes(s.checked, now) && d.view.Load().Complete()
 }
 
 const (
-	// maxConfirmWait is how long callers wait for the lists to be confirmed, at most half of their
-	// own time: with few peers in reach it takes the spreading's grace of as long.
+	// maxConfirmWait is how long a caller's request waits for the lists to be confirmed, at most half of its timeout.
+	// With few peers in reach a confirmation takes the grace period of package spread, which is as long.
 	maxConfirmWait      = 2 * time.Second
 	confirmPollInterval = 5 * time.Millisecond
 )
 
-// waitToAccept reports whether callers' requests are taken, now or a moment from now.
+// waitToAccept reports whether callers' requests are accepted, now or after a short wait.
 //
-// A process that wakes from a pause finds the requests of that time in its
-// buffers. Its peers confirm its lists within milliseconds, but refused at once
-// all of these would have come in vain, each inside its rate. A daemon that is
-// cut off, or has been unconfirmed for longer, refuses at once: waiting would
-// only hold its refusals back.
+// A process that resumes after a pause finds the requests of that time in its buffers. Its peers confirm its lists within
+// milliseconds; without the wait all these requests would be refused although each is within its rate limit. A
+// daemon that is isolated, or has been unconfirmed for longer, refuses at once, since waiting would only delay the refusals.
 func (d *Daemon) waitToAccept(r *http.Request, arrived time.Time) bool {
 	if d.acceptsCallers(arrived) {
 		return true
@@ -52,8 +50,8 @@
 	return false
 }
 
-// unconfirmedSince is when the lists stopped to count as current, or when the
-// request came in if that was later; a daemon that nobody answers has long waited.
+// unconfirmedSince returns when the lists stopped to count as current, or when the request came in if that was later. For
+// an isolated daemon it returns the zero time, so that its requests don't wait.
 func (d *Daemon) unconfirmedSince(arrived time.Time) time.Time {
 	s := d.servingState.Load()
 	switch {
@@ -66,24 +64,24 @@
 	}
 }
 
-// publishState publishes the standing, and from time to time which hosts get no new work.
+// publishState publishes the serving state, and once per membersInterval the view of members.
 func (c *control) publishState(now time.Time) {
-	next, checked := c.core.Standing()
-	before, since := c.daemon.servingState.Load(), now
+	standing, checked := c.core.Standing()
+	previous, since := c.daemon.servingState.Load(), now
 	switch {
-	case before == nil:
-	case before.Standing == next:
-		since = before.since
+	case previous == nil:
+	case previous.Standing == standing:
+		since = previous.since
 	default:
-		c.daemon.log.WithField("standing", next.String()).WithField("before", before.String()).Info("standing")
+		c.daemon.log.WithField("standing", standing.String()).WithField("before", previous.String()).Info("standing")
 	}
-	c.daemon.servingState.Store(&servingState{Standing: next, checked: checked, since: since})
+	c.daemon.servingState.Store(&servingState{Standing: standing, checked: checked, since: since})
 	if now.Sub(c.membersPublished) >= membersInterval {
 		c.publishMembers(now)
 	}
 }
 
-// membersInterval is how often the view of members is renewed without news; it holds times that run out.
+// membersInterval is how often the view of members is renewed without news, since it contains times that expire.
 const membersInterval = time.Second
 
 func (c *control) publishMembers(now time.Time) {
--- a/internal/app/daemon/usable.go
+++ b/internal/app/daemon/usable.go
@@ -7,12 +7,11 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/member"
 )
 
-// usableHosts keeps the hosts of each service that may get new work.
+// usableHosts caches the hosts of each service that may receive new work.
 //
-// The placer takes a slice that it has seen for a list that hasn't changed.
-// Filtered anew for each request while some host is in doubt, the list would be
-// taken over anew as well: 400 instances would cost each request tens of
-// microseconds just when the fleet is in trouble.
+// The placer recognises an unchanged host list by its slice. If the list were filtered for each request while a host is
+// suspected or leaving, the placer would process it as a new list each time: with 400 instances that costs each
+// request tens of microseconds, and just when the fleet is in trouble.
 type usableHosts struct {
 	mu       sync.Mutex
 	view     *lists.View
@@ -20,8 +19,8 @@
 	filtered map[string][]lists.Host
 }
 
-// of returns the service's usable hosts, the same slice while neither view nor members change.
-func (u *usableHosts) of(service string, view *lists.View, members *member.View) []lists.Host {
+// forService returns the service's usable hosts; it returns the same slice until the view or the members change.
+func (u *usableHosts) forService(service string, view *lists.View, members *member.View) []lists.Host {
 	if members.Sound() {
 		return view.HostsOf(service)
 	}
@@ -39,7 +38,7 @@
 	return hosts
 }
 
-// usable returns the hosts of a service that may get new work.
+// usable returns the hosts of a service that may receive new work.
 func (d *Daemon) usable(service string) []lists.Host {
-	return d.hosts.of(service, d.view.Load(), d.members.Load())
+	return d.hosts.forService(service, d.view.Load(), d.members.Load())
 }
--- a/internal/app/daemon/usable_test.go
+++ b/internal/app/daemon/usable_test.go
@@ -20,13 +20,13 @@
 		table, u := member.New(), usableHosts{}
 		table.SetHosts(list)
 		sound := table.View(time.Now())
-		So(&u.of("s", view, sound)[0], ShouldPointTo, &view.HostsOf("s")[0])
+		So(&u.forService("s", view, sound)[0], ShouldPointTo, &view.HostsOf("s")[0])
 		table.Hear(member.News{Host: "b", Incarnation: 1, Leaving: true}, time.Now())
 		leaving := table.View(time.Now())
-		first := u.of("s", view, leaving)
+		first := u.forService("s", view, leaving)
 		So(len(first), ShouldEqual, 2)
-		So(&u.of("s", view, leaving)[0], ShouldPointTo, &first[0])
-		So(&u.of("s", view, table.View(time.Now()))[0], ShouldNotPointTo, &first[0])
-		So(u.of("none", view, leaving), ShouldBeEmpty)
+		So(&u.forService("s", view, leaving)[0], ShouldPointTo, &first[0])
+		So(&u.forService("s", view, table.View(time.Now()))[0], ShouldNotPointTo, &first[0])
+		So(u.forService("none", view, leaving), ShouldBeEmpty)
 	})
 }
