--- a/internal/app/daemon/answers.go
+++ b/internal/app/daemon/answers.go
@@ -22,7 +22,8 @@
 	seconds tally.Histogram
 }
 
-// answerMetrics caches the metrics of every kind of response seen so far, since creating a tagged scope costs five allocations.
+// answerMetrics caches the metrics of every kind of response seen so far, since creating a tagged scope costs five
+// allocations each time.
 type answerMetrics struct {
 	scope telemetry.Scope
 	kinds sync.Map // answerKind to *kindMetrics
@@ -31,18 +32,18 @@
 func newAnswerMetrics(scope telemetry.Scope) *answerMetrics { return &answerMetrics{scope: scope} }
 
 // add records one response and how long the request took.
-func (a *answerMetrics) add(answer call.Answer, duration time.Duration) {
-	count := a.forKind(answerKind{answer.Outcome, answer.Reason})
+func (m *answerMetrics) add(answer call.Answer, duration time.Duration) {
+	count := m.forKind(answerKind{answer.Outcome, answer.Reason})
 	count.answers.Inc(1)
 	count.seconds.RecordDuration(duration)
 }
 
-func (a *answerMetrics) forKind(kind answerKind) *kindMetrics {
-	if known, ok := a.kinds.Load(kind); ok {
+func (m *answerMetrics) forKind(kind answerKind) *kindMetrics {
+	if known, ok := m.kinds.Load(kind); ok {
 		return known.(*kindMetrics)
 	}
-	scope := a.scope.Tagged(map[string]string{"outcome": kind.outcome.String(), "reason": kind.reason.String()})
-	stored, _ := a.kinds.LoadOrStore(kind, &kindMetrics{
+	scope := m.scope.Tagged(map[string]string{"outcome": kind.outcome.String(), "reason": kind.reason.String()})
+	stored, _ := m.kinds.LoadOrStore(kind, &kindMetrics{
 		answers: scope.Counter(telemetry.Answers),
 		seconds: scope.Latencies(telemetry.AnswerSeconds),
 	})
--- a/internal/app/daemon/chain_test.go
+++ b/internal/app/daemon/chain_test.go
@@ -14,7 +14,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// subCallDaemon has lists with one operation of low priority, and nothing that needs a socket.
+// subCallDaemon has one operation with background priority and no sockets.
 func subCallDaemon() *Daemon {
 	d := &Daemon{executor: &executor{runs: newActiveRuns()}}
 	plans := &lists.Plans{Organisations: []lists.Organisation{{Organisation: "dealer", Plan: "full", Rate: 1, Burst: 1}}}
@@ -26,11 +26,10 @@
 	return d
 }
 
-// A lookup calls a service whose operation is of low priority in the list. If
-// the call took that priority, or a deadline of its own, it would be shed or
-// outlive the request it belongs to, and the work above it would be for nothing.
+// A running request calls a service whose operation is listed with background priority. If the sub-call took that
+// priority, or a deadline of its own, it would be shed or outlive its request, and the work done so far would be wasted.
 func TestSubCallsInheritFromTheRequest(t *testing.T) {
-	Convey("Priority, deadline, organisation, request id and budget come from the request that is running", t, func() {
+	Convey("Priority, deadline, organisation, request ID and budget of a sub-call come from the running request", t, func() {
 		d, now := subCallDaemon(), time.Now()
 		running := &call.Request{ID: "r1", Organisation: "dealer", Priority: call.Interactive, Deadline: now.Add(time.Second), Depth: 3}
 		account := budget.New(5)
@@ -47,7 +46,7 @@
 		So(a.request.Depth, ShouldEqual, 4)
 		So(a.account, ShouldPointTo, account)
 	})
-	Convey("A token ends with its request", t, func() {
+	Convey("A run token is invalid after its request has ended", t, func() {
 		d := subCallDaemon()
 		token, _ := d.executor.runs.add(&call.Request{Organisation: "dealer"}, budget.New(1))
 		d.executor.runs.remove(token)
@@ -59,10 +58,10 @@
 	})
 }
 
-// The deepest service becomes slow. Each service above it is slow as well; if
-// that counted as its own latency, all of them would lower their limits.
+// The deepest service becomes slow, and so does each service above it. If they counted the wait for sub-calls as their
+// own latency, all of them would lower their concurrency limits.
 func TestSubCallTimeIsExcluded(t *testing.T) {
-	Convey("Calls side by side count once, and one that is still out counts up to now", t, func() {
+	Convey("Parallel sub-calls count once, and one still in flight counts up to now", t, func() {
 		var waited, later time.Duration
 		var pressure float64
 		synctest.Test(t, func(*testing.T) {
--- a/internal/app/daemon/chains.go
+++ b/internal/app/daemon/chains.go
@@ -22,37 +22,37 @@
 }
 
 // callStarted records that the upstream has begun to wait for a sub-call.
-func (o *parentRun) callStarted(now time.Time) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.openCalls == 0 {
-		o.waitingSince = now
+func (p *parentRun) callStarted(now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.openCalls == 0 {
+		p.waitingSince = now
 	}
-	o.openCalls++
+	p.openCalls++
 }
 
 // callEnded records the end of a sub-call and the pressure that its response reported.
-func (o *parentRun) callEnded(now time.Time, pressure float64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.openCalls--
-	if o.openCalls == 0 {
-		o.waitedBefore += now.Sub(o.waitingSince)
+func (p *parentRun) callEnded(now time.Time, pressure float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.openCalls--
+	if p.openCalls == 0 {
+		p.waitedBefore += now.Sub(p.waitingSince)
 	}
-	o.pressure = max(o.pressure, pressure)
+	p.pressure = max(p.pressure, pressure)
 }
 
 // waited returns how long the upstream has waited for sub-calls, and the highest pressure that their responses reported.
 //
 // A slow service deep in the call graph slows every service above it. If this time were counted, every hop would lower
 // its concurrency limit for a fault that isn't its own, and the whole call path would run far below its capacity.
-func (o *parentRun) waited(now time.Time) (time.Duration, float64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.openCalls > 0 {
-		return o.waitedBefore + now.Sub(o.waitingSince), o.pressure
+func (p *parentRun) waited(now time.Time) (time.Duration, float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.openCalls > 0 {
+		return p.waitedBefore + now.Sub(p.waitingSince), p.pressure
 	}
-	return o.waitedBefore, o.pressure
+	return p.waitedBefore, p.pressure
 }
 
 // activeRuns maps run tokens to the requests that the local upstream is running.
@@ -66,24 +66,24 @@
 
 func newActiveRuns() *activeRuns { return &activeRuns{running: map[string]*parentRun{}} }
 
-func (c *activeRuns) add(r *call.Request, account *budget.Account) (string, *parentRun) {
+func (a *activeRuns) add(r *call.Request, account *budget.Account) (string, *parentRun) {
 	token := rand.Text()
-	o := &parentRun{request: r, account: account}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.running[token] = o
-	return token, o
+	run := &parentRun{request: r, account: account}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.running[token] = run
+	return token, run
 }
 
-func (c *activeRuns) remove(token string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.running, token)
+func (a *activeRuns) remove(token string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	delete(a.running, token)
 }
 
-func (c *activeRuns) find(token string) (*parentRun, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	o, ok := c.running[token]
-	return o, ok
+func (a *activeRuns) find(token string) (*parentRun, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	run, ok := a.running[token]
+	return run, ok
 }
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -40,7 +40,7 @@
 	control        *control
 	rateLimiter    *rateLimiter
 	placer         *placing.Placer
-	needs          *budget.Needs
+	runNeeds       *budget.Needs
 	throttles      *pressure.Throttles
 	executor       *executor
 	peers          *peer.Node
@@ -57,7 +57,7 @@
 		log:       log,
 		metrics:   telemetry.NewMetrics(s.Host, s.Zone),
 		placer:    placing.New(s.Zone, placing.WithRegion(s.Region), placing.WithKind(s.Placing)),
-		needs:     budget.NewNeeds(),
+		runNeeds:  budget.NewNeeds(),
 		throttles: pressure.New(),
 	}
 	d.answers = newAnswerMetrics(d.metrics.Scope)
--- a/internal/app/daemon/dispatch.go
+++ b/internal/app/daemon/dispatch.go
@@ -81,7 +81,8 @@
 	}
 }
 
-// attempt sends the request to a host that is not among those tried, and returns the response and the host's name; false if there is no such host.
+// attempt sends the request to a host that was not tried before, and returns the response and the host's name; false
+// means that there is no such host.
 func (d *Daemon) attempt(ctx context.Context, a admittedRequest, tried []string) (call.Answer, string, bool) {
 	r, started := a.request, time.Now()
 	if r.Budget = d.drawBudget(ctx, a); r.Budget == 0 {
@@ -102,7 +103,7 @@
 	d.placer.Settle(now, choice, r.Operation, placingResult(answer), answer.Load)
 	a.account.Settle(r.Budget, answer.BudgetLeft)
 	if answer.Outcome == call.Whole {
-		d.needs.Learn(r.Operation, r.Budget, r.Budget-answer.BudgetLeft, answer.Status < minFaultStatus)
+		d.runNeeds.Learn(r.Operation, r.Budget, r.Budget-answer.BudgetLeft, answer.Status < minFaultStatus)
 	}
 	d.logPlacing(&r, host, len(tried), answer, started)
 	return answer, host.Host, true
@@ -129,7 +130,7 @@
 // waits for them; 0 means that no budget is left.
 func (d *Daemon) drawBudget(ctx context.Context, a admittedRequest) int {
 	for {
-		runs, wait := a.account.Draw(d.needs.Expect(a.request.Operation, a.request.Depth))
+		runs, wait := a.account.Draw(d.runNeeds.Expect(a.request.Operation, a.request.Depth))
 		if wait == nil {
 			return runs
 		}
--- a/internal/app/daemon/dispatch_test.go
+++ b/internal/app/daemon/dispatch_test.go
@@ -16,8 +16,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/proof/loopback"
 )
 
-// A service has no host left, or a request no run, and its callers are refused. Without a line
-// for it the log shows requests that come in and nothing that became of them.
+// A service has no host left, or a request has no budget, and the caller is refused. Without a log line for this case
+// the log shows that the request arrived but not how it ended.
 func TestRequestWithoutHostIsLogged(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/internal/app/daemon/door.go
+++ b/internal/app/daemon/door.go
@@ -110,29 +110,29 @@
 	if !ok {
 		return refuse(call.BadRequest, 0)
 	}
-	op, ok := view.Operation(dest.service, r.Method, dest.path)
+	operation, ok := view.Operation(dest.service, r.Method, dest.path)
 	if !ok {
 		return refuse(call.UnknownOperation, 0)
 	}
-	if !view.Allows(organisation, op.Operation) {
+	if !view.Allows(organisation, operation.Operation) {
 		return refuse(call.NotAllowed, 0)
 	}
-	o, _ := view.Organisation(organisation)
-	runs := op.Runs
+	entry, _ := view.Organisation(organisation)
+	runs := operation.Runs
 	if runs == 0 {
 		runs = d.settings.DefaultRuns
 	}
 	return admittedRequest{request: call.Request{
 		Organisation:   organisation,
-		Operation:      op.Operation,
+		Operation:      operation.Operation,
 		Service:        dest.service,
 		Method:         r.Method,
 		Path:           dest.requestURI,
 		Header:         forwardedHeaders(r.Header),
 		Body:           body,
-		Priority:       op.PriorityClass(),
-		Weight:         o.Weight,
-		Idempotent:     op.Idempotent,
+		Priority:       operation.PriorityClass(),
+		Weight:         entry.Weight,
+		Idempotent:     operation.Idempotent,
 		IdempotencyKey: r.Header.Get(headerIdempotencyKey),
 		Budget:         runs,
 	}}, call.Answer{}, true
@@ -163,14 +163,14 @@
 }
 
 func forwardedHeaders(h http.Header) http.Header {
-	out := h.Clone()
+	forwarded := h.Clone()
 	for _, name := range strippedHeaders {
-		out.Del(name)
+		forwarded.Del(name)
 	}
-	for name := range out {
+	for name := range forwarded {
 		if isReserved(name) {
-			delete(out, name)
+			delete(forwarded, name)
 		}
 	}
-	return out
+	return forwarded
 }
--- a/internal/app/daemon/door_test.go
+++ b/internal/app/daemon/door_test.go
@@ -20,7 +20,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/spread"
 )
 
-// admissionDaemon takes callers of one organisation whose whole burst, one token, is in stock; its doors are shut if asked for.
+// admissionDaemon accepts callers of one organisation whose whole burst, one token, is cached. If throttled is set, it
+// refuses their requests for overload.
 func admissionDaemon(metrics *telemetry.Metrics, throttled bool, now time.Time) *Daemon {
 	s := settings.Default()
 	s.Host = "h"
@@ -57,8 +58,8 @@
 	return d
 }
 
-// A service is overloaded and the door refuses a caller who is inside its rate. Had the
-// refusal cost its token, the caller would come back after the trouble to be refused for its rate.
+// A service is overloaded and the throttle refuses a caller that is within its rate limit. If the refusal cost a token,
+// the caller's retry after the overload would be refused for exceeding the rate limit.
 func TestOverloadRefusalCostsNoToken(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -66,8 +67,8 @@
 		reason    call.Reason
 		left      int
 	}{
-		{"an open door", false, call.None, 0},
-		{"a door that is shut", true, call.Overloaded, 1},
+		{"not throttled", false, call.None, 0},
+		{"throttled", true, call.Overloaded, 1},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
@@ -79,7 +80,7 @@
 				r.Header.Set(headerAuthorization, bearer+"dealer-key")
 				_, refusal, _ := d.admit(r, nil, now)
 				if left := d.rateLimiter.borrower.Stock("dealer", time.Now()); refusal.Reason != c.reason || left != c.left {
-					t.Errorf("%v with %d left, not %v with %d", refusal.Reason, left, c.reason, c.left)
+					t.Errorf("refused with %v and %d tokens left, want %v and %d", refusal.Reason, left, c.reason, c.left)
 				}
 			})
 		})
@@ -87,9 +88,8 @@
 }
 
 func TestRequestsWaitForConfirmedLists(t *testing.T) {
-	// A daemon's process stands still and wakes with callers' requests in its
-	// buffers. Until peers have confirmed its lists it may take none, but the
-	// callers were inside their rate and can wait a moment.
+	// A daemon's process was paused and resumes with callers' requests in its buffers. It may not accept them until peers
+	// have confirmed its lists, but the callers are within their rate limits and can wait for a moment.
 	long, short := settings.Default().DefaultTimeout, 100*time.Millisecond
 	cases := []struct {
 		name      string
@@ -101,13 +101,13 @@
 		after     time.Duration
 	}{
 		{"confirmed in time", spread.Waking, 0, 28 * time.Millisecond, long, true, 30 * time.Millisecond},
-		{"the control thread has not looked yet", spread.Serving, -time.Hour, 28 * time.Millisecond, long, true, 30 * time.Millisecond},
+		{"the control goroutine has not noticed the pause yet", spread.Serving, -time.Hour, 28 * time.Millisecond, long, true, 30 * time.Millisecond},
 		{"not confirmed", spread.Waking, 0, time.Hour, long, false, maxConfirmWait},
-		{"not confirmed in half of the caller's time", spread.Waking, 0, time.Hour, short, false, short / 2},
+		{"not confirmed within half of the caller's timeout", spread.Waking, 0, time.Hour, short, false, short / 2},
 		{"unconfirmed for long", spread.Starting, -time.Minute, time.Hour, long, false, 0},
-		{"cut off", spread.Isolated, 0, time.Hour, long, false, 0},
+		{"isolated", spread.Isolated, 0, time.Hour, long, false, 0},
 	}
-	Convey("A request waits for the lists as long as that helps", t, func() {
+	Convey("A request waits for the confirmation of the lists, but no longer than useful", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				d := admissionDaemon(telemetry.NewMetrics("h", "a"), false, time.Now())
--- a/internal/app/daemon/doubts.go
+++ b/internal/app/daemon/doubts.go
@@ -12,7 +12,8 @@
 	leaving bool
 }
 
-// maxPendingFailures bounds the reports waiting for the control goroutine; during a flood of failures the reports that fit are enough.
+// maxPendingFailures bounds the reports waiting for the control goroutine. During a flood of failures the rest is
+// dropped: those that fit name the same hosts.
 const maxPendingFailures = 64
 
 // checkAnswer reports a response that suggests that the host is leaving or unreachable.
--- a/internal/app/daemon/faults.go
+++ b/internal/app/daemon/faults.go
@@ -10,7 +10,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/httpd"
 )
 
-// faultResponse returns the response to a request that was refused before it was read completely, in the same form as all refusals.
+// faultResponse returns the response to a request that was refused before it was read completely, in the form of all
+// refusals.
 func faultResponse(f httpd.Fault) (int, http.Header, []byte) {
 	refusal := call.Refuse(call.BadRequest, 0)
 	switch f {
--- a/internal/app/daemon/front.go
+++ b/internal/app/daemon/front.go
@@ -82,12 +82,12 @@
 }
 
 func writeRefusal(w http.ResponseWriter, r *call.Request, a call.Answer) {
-	raw := refusalBody(a, r.ID)
+	body := refusalBody(a, r.ID)
 	setRefusalHeaders(w.Header(), a)
-	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.Header().Set(upstream.HeaderRequestID, r.ID)
 	w.WriteHeader(a.Status)
-	_, _ = w.Write(raw)
+	_, _ = w.Write(body)
 }
 
 func refusalBody(a call.Answer, requestID string) []byte {
--- a/internal/app/daemon/handoff.go
+++ b/internal/app/daemon/handoff.go
@@ -51,8 +51,10 @@
 }
 
 const (
+	// reserveDivisor makes a reserve at most a tenth of the remaining time.
 	reserveDivisor = 10
-	maxReturnTime  = 5 * time.Millisecond
+	// maxReturnTime bounds the time reserved for a reply's way back.
+	maxReturnTime = 5 * time.Millisecond
 )
 
 // withoutReturnTime subtracts from the remaining time what the reply needs for its way back. Without it, a request that
--- a/internal/app/daemon/inflight.go
+++ b/internal/app/daemon/inflight.go
@@ -51,8 +51,9 @@
 
 // drain waits until the requests that are in flight when it is called have ended, at most for the limit.
 //
-// It doesn't wait for a moment without any request: some callers keep sending until the connection closes, so a daemon of a busy
-// service would use up its whole drain time, and be ended by the platform before it has transferred its idempotency keys.
+// It doesn't wait for a moment without any request. Some callers keep sending until their connection is closed, so a
+// daemon of a busy service would use up its whole drain time, which is longer than the platform allows for the
+// transfer of its idempotency keys.
 func (f *inFlight) drain(limit time.Duration) {
 	f.draining = append(f.draining, f.current.Swap(&generation{total: &f.total}))
 	for end := time.Now().Add(limit); f.pending() && time.Now().Before(end); {
--- a/internal/app/daemon/inflight_test.go
+++ b/internal/app/daemon/inflight_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestDrainUnderSteadyLoad(t *testing.T) {
-	// A daemon leaves while callers go on sending to it, so some request is always at work. A wait for a
-	// moment without any lasts for the whole drain time: the host's replacement
-	// is late by minutes, or the platform ends the daemon before its idempotency keys were passed on.
+	// A daemon leaves while callers keep sending, so that some request is always in flight. If it waited for a moment without
+	// requests, the drain would take its whole limit: the host's replacement would be late by minutes, or the platform would
+	// end the daemon before it has transferred its idempotency keys.
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Requests that begin during the drain don't prolong it, and those before it are waited for", t, func() {
+		Convey("A drain waits for the requests that began before it, and not for later ones", t, func() {
 			f := newInFlight()
 			slow := f.begin()
 			slowEnds := time.Now().Add(3 * time.Second)
@@ -38,7 +38,7 @@
 			f.drain(time.Minute)
 			So(f.total.Load(), ShouldEqual, 0)
 		})
-		Convey("A request that never ends holds the drain up for the limit, and the next drain again", t, func() {
+		Convey("With a request that never ends, each drain takes its limit", t, func() {
 			f := newInFlight()
 			f.begin()
 			for range 2 {
--- a/internal/app/daemon/memory.go
+++ b/internal/app/daemon/memory.go
@@ -11,7 +11,8 @@
 	largeValueBytes = 64 << 10
 	// releaseDelay lets lists that arrive together, as at a start, share one collection.
 	releaseDelay = 2 * time.Second
-	// minReleaseInterval bounds the cost of lists that change all the time, since a collection takes as long as reading one of them.
+	// minReleaseInterval bounds the cost of lists that change all the time, since a collection takes as long as
+	// reading one of them.
 	minReleaseInterval = 5 * time.Second
 )
 
@@ -69,25 +70,25 @@
 var sharedGCTuner gcTuner
 
 // begin lowers the GC percentage until the matching end. A lower percentage, or off, was set by the operator and stays.
-func (c *gcTuner) begin() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.users++
-	if c.users > 1 {
+func (t *gcTuner) begin() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.users++
+	if t.users > 1 {
 		return
 	}
-	c.previous = debug.SetGCPercent(largeValueGCPercent)
-	if c.previous < largeValueGCPercent {
-		debug.SetGCPercent(c.previous)
+	t.previous = debug.SetGCPercent(largeValueGCPercent)
+	if t.previous < largeValueGCPercent {
+		debug.SetGCPercent(t.previous)
 	}
 }
 
 // end restores the percentage from before the first begin when the last user has ended.
-func (c *gcTuner) end() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.users--
-	if c.users == 0 {
-		debug.SetGCPercent(c.previous)
+func (t *gcTuner) end() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.users--
+	if t.users == 0 {
+		debug.SetGCPercent(t.previous)
 	}
 }
--- a/internal/app/daemon/memory_test.go
+++ b/internal/app/daemon/memory_test.go
@@ -8,15 +8,15 @@
 )
 
 func TestGCPercentIsRestored(t *testing.T) {
-	// Two daemons of one process read large lists, one after the other or at the same time. Were the second to
-	// take the first one's percentage for the operator's, the process would collect at every few megabytes for
-	// as long as it lives; one started with GOGC=off or a smaller GOGC would collect otherwise than it was told.
+	// Two daemons of one process read large lists, one after the other or at the same time. If the second took the first one's
+	// GC percentage for the operator's, the process would collect garbage every few megabytes for the rest of its life, and a
+	// process started with GOGC=off or a lower GOGC would lose that setting.
 	cases := []struct {
 		name        string
 		set, during int
 	}{
 		{"the default", 100, largeValueGCPercent},
-		{"a smaller one", 10, 10},
+		{"a lower percentage", 10, 10},
 		{"off", -1, -1},
 	}
 	for _, c := range cases {
--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -16,7 +16,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// deduplicator runs a request that must not be retried freely once per idempotency key.
+// deduplicator runs a request whose operation is not idempotent only once per idempotency key, however often its caller
+// retries it.
 //
 // All attempts with the same key go to its holder, one of the service's hosts, which remembers the outcome of the first
 // attempt. The holder dispatches the request like any other; only the record of the outcome is bound to a host.
@@ -89,7 +90,8 @@
 	holderRetryDelay  = 150 * time.Millisecond
 )
 
-// route sends a request with an idempotency key to the key's holder, unless its operation is idempotent, and all others to any host.
+// route sends a request with an idempotency key to the key's holder unless its operation is idempotent. It dispatches
+// all others to any host.
 func (r *deduplicator) route(ctx context.Context, a admittedRequest) call.Answer {
 	if a.request.Idempotent || a.request.IdempotencyKey == "" {
 		return r.daemon.dispatch(ctx, a)
@@ -211,7 +213,8 @@
 	return answer
 }
 
-// askOthers asks the other daemons about a key and returns the response to give, or false if no request with the key can have run.
+// askOthers asks the other daemons about a key. It returns the response if a request with the key ran or may have run,
+// and false if none can have run.
 func (r *deduplicator) askOthers(ctx context.Context, key ledger.Key, t ledger.Ticket) (call.Answer, bool) {
 	now := time.Now()
 	evidence := ledger.Evidence{
@@ -256,8 +259,9 @@
 // recallTimeout bounds the wait for the other daemons' replies about a key.
 const recallTimeout = 500 * time.Millisecond
 
-// recall asks every daemon that may know the key; the replies also confirm whether those daemons have the same host list.
-// Suspects count as not replying and aren't asked: while regions are partitioned, each new key would wait recallTimeout for them.
+// recall asks every daemon that may know the key; the replies also confirm whether those daemons have the same host
+// list. Suspects count as not replying without being asked: while regions are partitioned, each request whose key must
+// be asked about would wait recallTimeout for them.
 func (r *deduplicator) recall(ctx context.Context, query recallRequest, now time.Time) map[string]ledger.RecallReply {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
--- a/internal/app/daemon/once_test.go
+++ b/internal/app/daemon/once_test.go
@@ -16,7 +16,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// unreachableHolderDaemon is the daemon of a service whose only holder of keys can't be reached.
+// unreachableHolderDaemon returns a daemon whose service has a single key holder, host "away", which can't be reached.
 func unreachableHolderDaemon(holder netip.AddrPort) *Daemon {
 	d := singleHostDaemon(loopback.Address())
 	d.peers = peer.New(loopback.Address(), peer.WithDialTimeout(time.Second))
@@ -27,7 +27,7 @@
 	return d
 }
 
-// suspectView returns a view in which the host that is away is a suspect since the given time.
+// suspectView returns a view in which host "away" has been a suspect since the given time.
 func suspectView(d *Daemon, since time.Time) *member.View {
 	table := member.New()
 	table.SetHosts(d.view.Load().Hosts())
@@ -42,10 +42,10 @@
 	}}
 }
 
-// Two regions have lost each other, and a key's holder is in the other one. It is nobody's neighbour here, so nobody but
-// the requests for it can notice, and each would wait for it until its own time is up.
+// Two regions are partitioned, and a key's holder is in the other one. No daemon here exchanges digests with it, so only
+// the requests for it can detect the failure; otherwise each of them would wait until its own deadline.
 func TestUnreachableHolder(t *testing.T) {
-	Convey("A request that its holder did not answer raises a doubt", t, func() {
+	Convey("A request without a reply from its holder reports a host failure", t, func() {
 		d := unreachableHolderDaemon(loopback.Address())
 		So(d.peers.Start(), ShouldBeNil)
 		defer d.peers.Stop()
@@ -53,7 +53,7 @@
 		So(answer.Outcome, ShouldEqual, call.NotRun)
 		So(len(d.control.failures), ShouldEqual, 1)
 	})
-	Convey("So does a daemon that is silent when it is asked for a key", t, func() {
+	Convey("A recall request without a reply reports a host failure", t, func() {
 		d := unreachableHolderDaemon(loopback.Address())
 		So(d.peers.Start(), ShouldBeNil)
 		defer d.peers.Stop()
@@ -61,14 +61,14 @@
 		So(d.dedup.recall(context.Background(), recallRequest{}, time.Now()), ShouldBeEmpty)
 		So(len(d.control.failures), ShouldEqual, 1)
 	})
-	Convey("A suspect isn't asked for a key", t, func() {
+	Convey("A suspect gets no recall request", t, func() {
 		d := unreachableHolderDaemon(loopback.Address())
 		d.dedup.observe(d.view.Load(), time.Now())
 		d.members.Store(suspectView(d, time.Now()))
 		So(d.dedup.recall(context.Background(), recallRequest{}, time.Now()), ShouldBeEmpty)
 		So(d.control.failures, ShouldBeEmpty)
 	})
-	Convey("Requests for a suspect are refused at once, for as long as it has been away", t, func() {
+	Convey("Requests for a suspect are refused at once, with a Retry-After delay as long as it has been unreachable", t, func() {
 		d := unreachableHolderDaemon(loopback.Address())
 		d.members.Store(suspectView(d, time.Now().Add(-7*time.Second)))
 		answer := d.dedup.route(context.Background(), keyedRequest())
--- a/internal/app/daemon/owner_test.go
+++ b/internal/app/daemon/owner_test.go
@@ -15,10 +15,10 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// A key is withdrawn while a request of its organisation waits for a slot. The
-// request would otherwise run for someone who is no longer a customer.
+// A key is withdrawn while a request of its organisation waits for a slot. Without a check after the wait the request
+// would run for an organisation that no longer has access.
 func TestKeyWithdrawnWhileQueued(t *testing.T) {
-	Convey("A request whose key has gone leaves the queue unrun, and its slot goes to the next", t, func() {
+	Convey("A request whose key was withdrawn leaves the queue without running and releases its slot", t, func() {
 		s := settings.Default()
 		s.Slots = 1
 		s.QueueTime = time.Minute
@@ -42,8 +42,8 @@
 	})
 }
 
-// A booking waits in the queue until its time is nearly up. Told in the last instant, the daemon that handed
-// it on would have given up on the answer, and called a booking unknown that never ran.
+// A request waits in the queue until shortly before its deadline. If it were refused in the last instant, the daemon that
+// forwarded it would have stopped waiting and would report an unknown outcome for a request that never ran.
 func TestQueueRefusalBeforeTheDeadline(t *testing.T) {
 	cases := []struct {
 		timeout, left time.Duration
@@ -64,7 +64,7 @@
 				r := &call.Request{Organisation: "dealer", Operation: "op", Deadline: time.Now().Add(c.timeout), Budget: 4}
 				a := o.run(t.Context(), r, nil)
 				if left := time.Until(r.Deadline); a.Outcome != call.NotRun || left != c.left {
-					t.Errorf("%v with %s left, not %s", a.Outcome, left, c.left)
+					t.Errorf("outcome %v with %s left, want %s", a.Outcome, left, c.left)
 				}
 			})
 		})
--- a/internal/app/daemon/path_test.go
+++ b/internal/app/daemon/path_test.go
@@ -12,10 +12,9 @@
 )
 
 func TestForwardedPath(t *testing.T) {
-	// A caller's path has escaped characters or dot segments. Unescaped on the
-	// way, it means another resource to the upstream than to the caller; and dot
-	// segments that the upstream resolves lead from an operation that the plan
-	// allows to one that it doesn't.
+	// A caller's path has escaped characters or dot segments. If it were unescaped on the way, the upstream would see another
+	// resource than the caller named; and if the upstream resolves dot segments, a path that matches an allowed operation
+	// would reach one that the plan doesn't allow.
 	view := lists.NewView([lists.Kinds]uint64{},
 		&lists.Plans{Organisations: []lists.Organisation{{Organisation: "dealer", Plan: "basic", Rate: 1, Burst: 1}}},
 		&lists.Uses{
@@ -39,7 +38,7 @@
 		{"/lookup/vehicles//1", "", call.BadRequest},
 		{"/lookup/exports", "", call.UnknownOperation},
 	}
-	Convey("The upstream sees the path as the caller wrote it, and no way around an operation", t, func() {
+	Convey("The path is forwarded as the caller wrote it, and unclean paths are refused", t, func() {
 		for _, c := range cases {
 			Convey(c.target, func() {
 				a, refusal, ok := d.prepare(view, "dealer", httptest.NewRequest("GET", c.target, nil), nil)
--- a/internal/app/daemon/pressure_test.go
+++ b/internal/app/daemon/pressure_test.go
@@ -22,13 +22,13 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// singleHostDaemon serves one upstream, and is the only host of its service.
+// singleHostDaemon serves one upstream and is the only host of its service.
 func singleHostDaemon(address netip.AddrPort) *Daemon {
 	s := settings.Default()
 	s.Host, s.Service, s.Zone = "h", "lookup", "a"
 	d := &Daemon{
 		settings: s, log: telemetry.NewLog(io.Discard, s.LogLevel), placer: placing.New("a"),
-		needs: budget.NewNeeds(), throttles: pressure.New(), executor: newExecutor(s, upstream.New(address)),
+		runNeeds: budget.NewNeeds(), throttles: pressure.New(), executor: newExecutor(s, upstream.New(address)),
 	}
 	hosts := &lists.Hosts{Hosts: []lists.Host{{Host: "h", Service: "lookup", Zone: "a"}}}
 	d.view.Store(lists.NewView([lists.Kinds]uint64{1, 1, 1, 1}, nil, nil, nil, hosts))
@@ -36,9 +36,8 @@
 	return d
 }
 
-// A service calls a deeper one that refuses for overload, and answers 502. The
-// door must learn of it, or it goes on to let in work that is done at each hop
-// and fails at the last.
+// A service calls a deeper one that refuses for overload, and responds with 502. The throttle must learn of it;
+// otherwise it keeps admitting requests that cost work at each hop and fail at the last.
 func TestPressureReachesTheThrottle(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -46,9 +45,9 @@
 		pressure  float64
 		throttles int
 	}{
-		{"a failure for overload further down closes the door", http.StatusBadGateway, 1, 1},
-		{"a failure without overload does not", http.StatusBadGateway, 0, 0},
-		{"overload further down that the upstream could do without does not", http.StatusOK, 1, 0},
+		{"a failure with overload at a deeper service throttles the operation", http.StatusBadGateway, 1, 1},
+		{"a failure without overload does not throttle it", http.StatusBadGateway, 0, 0},
+		{"overload at a deeper service despite which the upstream succeeds does not throttle it", http.StatusOK, 1, 0},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
--- a/internal/app/daemon/rates.go
+++ b/internal/app/daemon/rates.go
@@ -236,15 +236,16 @@
 // handoverTimeout bounds how long a leaving daemon tries to reach the other members.
 const handoverTimeout = 500 * time.Millisecond
 
-// handOverShards gives up this daemon's shards and tells the other members, so that they need not wait for the fence.
+// handOverShards gives up this daemon's shards and tells the other members, so that they need not wait
+// for the time (rate.Limits.Fence) during which the shards of a vanished member stay unused.
 // A lost message delays the handover but never lets two daemons lend the same tokens.
 func (r *rateLimiter) handOverShards() {
 	var others []rate.Member
-	var last rate.Statement
+	var statement rate.Statement
 	r.daemon.control.do(func() {
 		now := time.Now()
 		others = r.home.Cease(now)
-		last = r.home.Statement(now)
+		statement = r.home.Statement(now)
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
@@ -253,7 +254,7 @@
 	for _, to := range others {
 		go func() {
 			semaphore <- struct{}{}
-			_, err := peer.Call[rate.Statement, rate.Statement](ctx, r.daemon.peers, to.Peer, peer.KindHandover, last)
+			_, err := peer.Call[rate.Statement, rate.Statement](ctx, r.daemon.peers, to.Peer, peer.KindHandover, statement)
 			<-semaphore
 			results <- err == nil
 		}()
--- a/internal/app/daemon/rates_test.go
+++ b/internal/app/daemon/rates_test.go
@@ -12,9 +12,9 @@
 	"github.com/foxtailhook/foxtailhook/internal/proof/loopback"
 )
 
-// Two of three regions are away, and with them the homes of two thirds of an organisation's shards. Asked one
-// after the other by each search for a token, they would take the time in which the homes that are left could answer,
-// and a connection attempt each.
+// Two of three regions are unreachable, and with them the homes of two thirds of an organisation's shards. If each search
+// for a token tried them one after another, each would cost a connection attempt, and no time would be left for the
+// homes that can reply.
 func TestUnreachableHomes(t *testing.T) {
 	away := rate.Member{Host: "away", Peer: loopback.Address()}
 	start := func() *Daemon {
@@ -29,7 +29,7 @@
 		So(ok, ShouldBeTrue)
 		return d.rateLimiter.requestLease(context.Background(), q)
 	}
-	Convey("A home that does not answer raises a doubt", t, func() {
+	Convey("A home that does not reply is reported as a host failure", t, func() {
 		d := start()
 		So(d.peers.Start(), ShouldBeNil)
 		defer d.peers.Stop()
@@ -37,7 +37,7 @@
 		So(d.rateLimiter.leaseRequests.Load(), ShouldEqual, 1)
 		So(len(d.control.failures), ShouldEqual, 1)
 	})
-	Convey("A suspect is not asked, and passed over for a while like one that did not answer", t, func() {
+	Convey("A suspect is not asked, and is skipped for a while like a home that did not reply", t, func() {
 		d := start()
 		d.members.Store(suspectView(d, time.Now()))
 		So(ask(d), ShouldEqual, rate.UnsettledWait)
--- a/internal/app/daemon/seek_test.go
+++ b/internal/app/daemon/seek_test.go
@@ -15,7 +15,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// delayedRateLimiter borrows the tokens of one organisation from a full home that answers after a while.
+// delayedRateLimiter borrows the tokens of one organisation from a home that has its whole burst and replies after the delay.
 func delayedRateLimiter(metrics *telemetry.Metrics, delay time.Duration) *rateLimiter {
 	now := time.Now()
 	home := rate.Member{Host: "home"}
@@ -40,19 +40,19 @@
 	return r
 }
 
-// Requests of an organisation far inside its rate come in without a pause, and each waits a moment for a token, so
-// that one search for tokens follows the requests on. Those that came when it had gone on for long were refused as
-// over the rate, though the home had answered each question with tokens.
+// Requests of an organisation far below its rate limit arrive without a pause, and each waits briefly for a token, so that one
+// search for tokens goes on and on. If the search's time limit counted from its start, later requests would be refused as
+// above the rate limit although the home granted tokens each time.
 func TestSearchContinuesWhileHomesGrantTokens(t *testing.T) {
 	cases := []struct {
 		name  string
 		delay time.Duration
 	}{
-		{"a home near by", time.Millisecond},
+		{"a home in the same region", time.Millisecond},
 		{"a home in another region", 45 * time.Millisecond},
 	}
 	for _, c := range cases {
-		Convey("With "+c.name+", nobody inside the rate is refused", t, func() {
+		Convey("With "+c.name+", no request below the rate limit is refused", t, func() {
 			metrics := telemetry.NewMetrics("h", "a")
 			synctest.Test(t, func(t *testing.T) {
 				r := delayedRateLimiter(metrics, c.delay)
@@ -67,18 +67,18 @@
 					time.Sleep(5 * time.Millisecond)
 				}
 				all.Wait()
-				time.Sleep(time.Minute) // The last search ends.
+				time.Sleep(time.Minute) // Lets the last search end.
 				if n := refused.Load(); n > 0 {
-					t.Errorf("%d of 600 were refused", n)
+					t.Errorf("%d of 600 requests were refused", n)
 				}
 			})
 		})
 	}
 }
 
-// All homes hang. A request must hear so while its caller still listens, and not wait for its whole time.
+// All homes hang. A request must be refused early enough for its caller, instead of waiting until its deadline.
 func TestSearchTimesOutWhenHomesHang(t *testing.T) {
-	Convey("A request is refused after the bound", t, func() {
+	Convey("A request is refused after searchTimeout", t, func() {
 		metrics := telemetry.NewMetrics("h", "a")
 		synctest.Test(t, func(t *testing.T) {
 			r := delayedRateLimiter(metrics, 0)
@@ -88,10 +88,10 @@
 			}
 			begun := time.Now()
 			if _, _, ok := r.Spend(t.Context(), "dealer"); ok {
-				t.Error("it got a token")
+				t.Error("the request got a token")
 			}
 			if waited := time.Since(begun); waited < searchTimeout || waited > searchTimeout+leaseTimeout+unsettledDelay {
-				t.Errorf("it waited %s", waited)
+				t.Errorf("the request waited %s", waited)
 			}
 		})
 	})
--- a/internal/app/daemon/spreading.go
+++ b/internal/app/daemon/spreading.go
@@ -131,7 +131,8 @@
 	maxLargeValueWait = 300 * time.Millisecond
 )
 
-// packet returns the list that a peer fetches and how long to delay the reply, or nothing if too many peers wait for a large list.
+// packet returns the list that a peer fetches and how long to delay the reply, or nothing if too many peers wait for a
+// large list.
 //
 // When an availability zone starts, all its daemons fetch from the first one that has the lists. A list of a megabyte is
 // copied several times while it is sent, so that ten at a time would use all the memory that the daemon may hold. A peer
--- a/internal/app/daemon/spreading_test.go
+++ b/internal/app/daemon/spreading_test.go
@@ -12,9 +12,9 @@
 )
 
 func TestLargeValuesAreSentOneAtATime(t *testing.T) {
-	// A zone starts as a whole, and one daemon has the lists first. Forty peers ask it for a
-	// megabyte at once, and its host runs short of memory for the upstream.
-	Convey("Peers that ask for a large value at once get it one after another, and the last ones nothing", t, func() {
+	// A whole availability zone starts, and one daemon has the lists first. If it sent a list of a megabyte to forty peers at
+	// once, its host would run short of memory for the upstream.
+	Convey("Peers that fetch a large list at once get it one after another, and the last ones get nothing", t, func() {
 		now := time.Unix(1_000_000, 0)
 		c := &control{archive: &spread.Archive{}}
 		c.archive.Store(lists.Value{Kind: lists.KindKeys, Version: 1, Raw: bytes.Repeat([]byte{' '}, 1<<20)})
--- a/internal/app/daemon/standing.go
+++ b/internal/app/daemon/standing.go
@@ -50,8 +50,8 @@
 	return false
 }
 
-// unconfirmedSince returns when the lists stopped to count as current, or when the request came in if that was later. For
-// an isolated daemon it returns the zero time, so that its requests don't wait.
+// unconfirmedSince returns when the lists stopped to count as current or when the request arrived, whichever was earlier.
+// For an isolated daemon it returns the zero time, so that its requests don't wait.
 func (d *Daemon) unconfirmedSince(arrived time.Time) time.Time {
 	s := d.servingState.Load()
 	switch {
--- a/internal/app/daemon/truth_test.go
+++ b/internal/app/daemon/truth_test.go
@@ -11,9 +11,8 @@
 )
 
 func TestNotRunIsChecked(t *testing.T) {
-	// An upstream settles a payment through one service and is refused by the
-	// next. It passes that refusal on as its own, and its caller, told that
-	// nothing ran, pays again.
+	// An upstream settles a payment through one service and is refused by the next. It passes that refusal on as its own, and
+	// the caller, told that nothing ran, pays again.
 	cases := []struct {
 		name    string
 		answer  call.Answer
@@ -21,12 +20,12 @@
 		outcome call.Outcome
 		back    int
 	}{
-		{"a refusal before any call of its own", call.Refuse(call.UpstreamShed, 0), 7, call.NotRun, 8},
-		{"a refusal after a call of its own ran", call.Refuse(call.UpstreamShed, 0), 6, call.Unknown, 6},
-		{"a whole answer", call.Answer{Outcome: call.Whole}, 6, call.Whole, 6},
-		{"a lost answer", call.Lose(call.AnswerLost), 7, call.Unknown, 7},
+		{"a refusal before any sub-call", call.Refuse(call.UpstreamShed, 0), 7, call.NotRun, 8},
+		{"a refusal after a sub-call ran", call.Refuse(call.UpstreamShed, 0), 6, call.Unknown, 6},
+		{"a complete response", call.Answer{Outcome: call.Whole}, 6, call.Whole, 6},
+		{"a lost response", call.Lose(call.AnswerLost), 7, call.Unknown, 7},
 	}
-	Convey("An upstream's not run counts only if nothing was spent", t, func() {
+	Convey("An upstream's claim of not run is accepted only if its sub-calls spent nothing", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				a := checkNotRun(&call.Request{Budget: 8}, c.answer, c.left)
@@ -38,8 +37,8 @@
 }
 
 func TestForwardedHeaders(t *testing.T) {
-	// A caller names an organisation, a budget or a token of its own, spelled so
-	// that an upstream behind a CGI-like interface can't tell it from the daemon's.
+	// A caller sets an organisation, a budget or a token of its own, spelled so that an upstream behind a CGI-like interface
+	// can't distinguish it from the daemon's header.
 	cases := []struct {
 		name   string
 		passes bool
@@ -54,7 +53,7 @@
 		{"X-Foxtailhook", true},
 		{"Accept", true},
 	}
-	Convey("No header of the system's own, and no key, is passed on", t, func() {
+	Convey("Reserved headers, keys and connection headers are not forwarded", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				So(len(forwardedHeaders(http.Header{c.name: {"x"}})) == 1, ShouldEqual, c.passes)
@@ -69,7 +68,7 @@
 		{20 * time.Millisecond, 18 * time.Millisecond},
 		{0, 0},
 	}
-	Convey("A handed-on request leaves time for its answer", t, func() {
+	Convey("A forwarded request leaves time for the reply", t, func() {
 		for _, c := range cases {
 			h := newRunRequest(&call.Request{Deadline: time.Unix(100, 0).Add(c.left)}, time.Unix(100, 0))
 			So(h.Remaining, ShouldEqual, c.want)
--- a/internal/app/daemon/usable_test.go
+++ b/internal/app/daemon/usable_test.go
@@ -10,9 +10,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/member"
 )
 
-// A host says that it is leaving. Each request then filters the list of hosts
-// anew, and the placer takes each copy for a new list: all that it knew of
-// failing hosts would be gone, and its cost would grow with the fleet.
+// A host is leaving. If each request filtered the host list again, the placer would take each copy for a new list: it would
+// lose all that it had learned of failing hosts, and its cost would grow with the fleet.
 func TestUsableHostsAreCached(t *testing.T) {
 	Convey("The same slice is returned until the view or the members change", t, func() {
 		list := []lists.Host{{Host: "a", Service: "s"}, {Host: "b", Service: "s"}, {Host: "c", Service: "s"}}
