--- a/internal/app/daemon/chain_test.go
+++ b/internal/app/daemon/chain_test.go
@@ -65,19 +65,19 @@
 		var waited, later time.Duration
 		var pressure float64
 		synctest.Test(t, func(*testing.T) {
-			o := &parentRun{}
+			p := &parentRun{}
 			time.Sleep(time.Second)
-			o.callStarted(time.Now())
+			p.callStarted(time.Now())
 			time.Sleep(time.Second)
-			o.callStarted(time.Now())
+			p.callStarted(time.Now())
 			time.Sleep(time.Second)
-			o.callEnded(time.Now(), 1)
-			o.callEnded(time.Now(), 0)
+			p.callEnded(time.Now(), 1)
+			p.callEnded(time.Now(), 0)
 			time.Sleep(time.Second)
-			waited, pressure = o.waited(time.Now())
-			o.callStarted(time.Now())
+			waited, pressure = p.waited(time.Now())
+			p.callStarted(time.Now())
 			time.Sleep(time.Second)
-			later, _ = o.waited(time.Now())
+			later, _ = p.waited(time.Now())
 		})
 		So(waited, ShouldEqual, 2*time.Second)
 		So(pressure, ShouldEqual, 1)
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -80,7 +80,8 @@
 // maxFrameHead is the number of bytes that a message between daemons may add to the request's body.
 const maxFrameHead = 1 << 20
 
-// Run serves until ctx ends, then drains and stops; the error names the listener that failed to start.
+// Run serves until ctx ends, then finishes the requests in flight and stops; the error names the listener that failed
+// to start.
 func (d *Daemon) Run(ctx context.Context) error {
 	if err := d.start(ctx); err != nil {
 		return err
--- a/internal/app/daemon/faults.go
+++ b/internal/app/daemon/faults.go
@@ -12,9 +12,9 @@
 
 // faultResponse returns the response to a request that was refused before it was read completely, in the form of all
 // refusals.
-func faultResponse(f httpd.Fault) (int, http.Header, []byte) {
+func faultResponse(fault httpd.Fault) (int, http.Header, []byte) {
 	refusal := call.Refuse(call.BadRequest, 0)
-	switch f {
+	switch fault {
 	case httpd.HeadTooLarge, httpd.BodyTooLarge:
 		refusal = call.Refuse(call.TooLarge, 0)
 	case httpd.Full:
--- a/internal/app/daemon/inflight_test.go
+++ b/internal/app/daemon/inflight_test.go
@@ -42,9 +42,9 @@
 			f := newInFlight()
 			f.begin()
 			for range 2 {
-				begun := time.Now()
+				started := time.Now()
 				f.drain(time.Minute)
-				So(time.Since(begun), ShouldBeBetween, time.Minute-time.Second, time.Minute+time.Second)
+				So(time.Since(started), ShouldBeBetween, time.Minute-time.Second, time.Minute+time.Second)
 			}
 		})
 	})
--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -198,8 +198,8 @@
 //
 // The run goes on if the caller disconnects: its deadline bounds it, and the caller may retry with the same key
 // to get the response.
-func (r *deduplicator) runNewKey(ctx context.Context, a admittedRequest, key ledger.Key, t ledger.Ticket) call.Answer {
-	answer, known := r.askOthers(ctx, key, t)
+func (r *deduplicator) runNewKey(ctx context.Context, a admittedRequest, key ledger.Key, ticket ledger.Ticket) call.Answer {
+	answer, known := r.askOthers(ctx, key, ticket)
 	if known {
 		r.ledger.Release(key, time.Now())
 	} else {
@@ -215,10 +215,10 @@
 
 // askOthers asks the other daemons about a key. It returns the response if a request with the key ran or may have run,
 // and false if none can have run.
-func (r *deduplicator) askOthers(ctx context.Context, key ledger.Key, t ledger.Ticket) (call.Answer, bool) {
+func (r *deduplicator) askOthers(ctx context.Context, key ledger.Key, ticket ledger.Ticket) (call.Answer, bool) {
 	now := time.Now()
 	evidence := ledger.Evidence{
-		Self: r.daemon.settings.Host, Own: r.ledger.Own(now), Moves: t.Moves, Window: r.window,
+		Self: r.daemon.settings.Host, Own: r.ledger.Own(now), Moves: ticket.Moves, Window: r.window,
 		Need: key.Age(now, r.window), Required: r.history.Required(key, now),
 	}
 	if evidence.Need > r.window {
--- a/internal/app/daemon/operators.go
+++ b/internal/app/daemon/operators.go
@@ -63,13 +63,13 @@
 }
 
 func (d *Daemon) serveStatus(w http.ResponseWriter, _ *http.Request) {
-	raw, err := json.MarshalIndent(d.status(), "", "  ")
+	body, err := json.MarshalIndent(d.status(), "", "  ")
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(append(raw, '\n'))
+	_, _ = w.Write(append(body, '\n'))
 }
 
 func (d *Daemon) status() Status {
@@ -92,9 +92,9 @@
 	return s
 }
 
-func messageBytes(t peer.Traffic) map[string]peer.Bytes {
+func messageBytes(traffic peer.Traffic) map[string]peer.Bytes {
 	all := map[string]peer.Bytes{}
-	for k, bytes := range t.ByKind {
+	for k, bytes := range traffic.ByKind {
 		if k > 0 && bytes != (peer.Bytes{}) {
 			all[peer.Kind(k).String()] = bytes
 		}
--- a/internal/app/daemon/owner_test.go
+++ b/internal/app/daemon/owner_test.go
@@ -22,23 +22,23 @@
 		s := settings.Default()
 		s.Slots = 1
 		s.QueueTime = time.Minute
-		o := newExecutor(s, upstream.New(netip.MustParseAddrPort("127.0.0.1:1")))
-		holds := &admission.Ticket{Organisation: "other", Operation: "op", Deadline: time.Now().Add(time.Minute)}
-		So(o.gate.Arrive(time.Now(), holds).Verdict, ShouldEqual, admission.Run)
+		e := newExecutor(s, upstream.New(netip.MustParseAddrPort("127.0.0.1:1")))
+		running := &admission.Ticket{Organisation: "other", Operation: "op", Deadline: time.Now().Add(time.Minute)}
+		So(e.gate.Arrive(time.Now(), running).Verdict, ShouldEqual, admission.Run)
 		answered := make(chan call.Answer)
 		go func() {
 			r := &call.Request{Organisation: "dealer", Operation: "op", Deadline: time.Now().Add(time.Minute), Budget: 4}
-			answered <- o.run(context.Background(), r, func() bool { return false })
+			answered <- e.run(context.Background(), r, func() bool { return false })
 		}()
-		for o.gate.Load().Queued == 0 {
+		for e.gate.Load().Queued == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		o.gate.Settle(time.Now(), holds, admission.Result{Own: time.Millisecond})
+		e.gate.Settle(time.Now(), running, admission.Result{Own: time.Millisecond})
 		a := <-answered
 		So(a.Outcome, ShouldEqual, call.NotRun)
 		So(a.Reason, ShouldEqual, call.UnknownKey)
 		So(a.BudgetLeft, ShouldEqual, 4)
-		So(o.gate.Load().InFlight, ShouldEqual, 0)
+		So(e.gate.Load().InFlight, ShouldEqual, 0)
 	})
 }
 
@@ -58,11 +58,11 @@
 				s := settings.Default()
 				s.Slots = 1
 				s.QueueTime = time.Minute
-				o := newExecutor(s, upstream.New(netip.MustParseAddrPort("127.0.0.1:1")))
-				holds := &admission.Ticket{Organisation: "other", Operation: "op", Deadline: time.Now().Add(time.Hour)}
-				o.gate.Arrive(time.Now(), holds)
+				e := newExecutor(s, upstream.New(netip.MustParseAddrPort("127.0.0.1:1")))
+				running := &admission.Ticket{Organisation: "other", Operation: "op", Deadline: time.Now().Add(time.Hour)}
+				e.gate.Arrive(time.Now(), running)
 				r := &call.Request{Organisation: "dealer", Operation: "op", Deadline: time.Now().Add(c.timeout), Budget: 4}
-				a := o.run(t.Context(), r, nil)
+				a := e.run(t.Context(), r, nil)
 				if left := time.Until(r.Deadline); a.Outcome != call.NotRun || left != c.left {
 					t.Errorf("outcome %v with %s left, want %s", a.Outcome, left, c.left)
 				}
--- a/internal/app/daemon/pressure_test.go
+++ b/internal/app/daemon/pressure_test.go
@@ -53,10 +53,10 @@
 		Convey(c.name, t, func() {
 			var d *Daemon
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				o, ok := d.executor.runs.find(r.Header.Get(upstream.HeaderToken))
+				run, ok := d.executor.runs.find(r.Header.Get(upstream.HeaderToken))
 				if ok {
-					o.callStarted(time.Now())
-					o.callEnded(time.Now(), c.pressure)
+					run.callStarted(time.Now())
+					run.callEnded(time.Now(), c.pressure)
 				}
 				w.WriteHeader(c.status)
 			}))
--- a/internal/app/daemon/rates.go
+++ b/internal/app/daemon/rates.go
@@ -54,10 +54,10 @@
 	return r
 }
 
-func (r *rateLimiter) registerHandlers(n *peer.Node) {
-	peer.Handle(n, peer.KindLease, r.handleLease)
-	peer.Handle(n, peer.KindConfirm, r.handleConfirm)
-	peer.Handle(n, peer.KindHandover, r.handleConfirm)
+func (r *rateLimiter) registerHandlers(node *peer.Node) {
+	peer.Handle(node, peer.KindLease, r.handleLease)
+	peer.Handle(node, peer.KindConfirm, r.handleConfirm)
+	peer.Handle(node, peer.KindHandover, r.handleConfirm)
 }
 
 // configure applies a new view; it runs on the control goroutine.
--- a/internal/app/daemon/seek_test.go
+++ b/internal/app/daemon/seek_test.go
@@ -19,14 +19,14 @@
 func delayedRateLimiter(metrics *telemetry.Metrics, delay time.Duration) *rateLimiter {
 	now := time.Now()
 	home := rate.Member{Host: "home"}
-	plans := []lists.Organisation{{Organisation: "dealer", Plan: "full", Rate: 1000, Burst: 1000}}
+	organisations := []lists.Organisation{{Organisation: "dealer", Plan: "full", Rate: 1000, Burst: 1000}}
 	limits := rate.DefaultLimits()
-	begun := now.Add(-24 * time.Hour)
-	lender := rate.NewHome(home, 1, limits, begun)
-	lender.SetPlans(plans, begun)
-	lender.SetList(1, []rate.Member{home}, begun)
+	homeStarted := now.Add(-24 * time.Hour)
+	lender := rate.NewHome(home, 1, limits, homeStarted)
+	lender.SetPlans(organisations, homeStarted)
+	lender.SetList(1, []rate.Member{home}, homeStarted)
 	borrower := rate.NewBorrower("h", 1, limits)
-	borrower.SetPlans(plans)
+	borrower.SetPlans(organisations)
 	borrower.SetList(1, []rate.Member{home})
 	r := &rateLimiter{daemon: &Daemon{metrics: metrics}, borrower: borrower, searches: newTokenSearches()}
 	var mu sync.Mutex
@@ -57,16 +57,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := delayedRateLimiter(metrics, c.delay)
 				var refused atomic.Int32
-				var all sync.WaitGroup
+				var requests sync.WaitGroup
 				for range 600 {
-					all.Go(func() {
+					requests.Go(func() {
 						if _, _, ok := r.Spend(t.Context(), "dealer"); !ok {
 							refused.Add(1)
 						}
 					})
 					time.Sleep(5 * time.Millisecond)
 				}
-				all.Wait()
+				requests.Wait()
 				time.Sleep(time.Minute) // Lets the last search end.
 				if n := refused.Load(); n > 0 {
 					t.Errorf("%d of 600 requests were refused", n)
@@ -86,11 +86,11 @@
 				time.Sleep(leaseTimeout)
 				return rate.UnsettledWait
 			}
-			begun := time.Now()
+			started := time.Now()
 			if _, _, ok := r.Spend(t.Context(), "dealer"); ok {
 				t.Error("the request got a token")
 			}
-			if waited := time.Since(begun); waited < searchTimeout || waited > searchTimeout+leaseTimeout+unsettledDelay {
+			if waited := time.Since(started); waited < searchTimeout || waited > searchTimeout+leaseTimeout+unsettledDelay {
 				t.Errorf("the request waited %s", waited)
 			}
 		})
--- a/internal/app/daemon/spreading.go
+++ b/internal/app/daemon/spreading.go
@@ -116,7 +116,7 @@
 	var packet spread.Packet
 	var wait time.Duration
 	if int(request.Kind) < lists.Kinds {
-		d.control.do(func() { packet, wait = d.control.packet(request, time.Now()) })
+		d.control.do(func() { packet, wait = d.control.packetFor(request, time.Now()) })
 	}
 	if wait > 0 {
 		sleep(ctx, wait)
@@ -131,13 +131,13 @@
 	maxLargeValueWait = 300 * time.Millisecond
 )
 
-// packet returns the list that a peer fetches and how long to delay the reply, or nothing if too many peers wait for a
+// packetFor returns the list that a peer fetches and how long to delay the reply, or nothing if too many peers wait for a
 // large list.
 //
 // When an availability zone starts, all its daemons fetch from the first one that has the lists. A list of a megabyte is
 // copied several times while it is sent, so that ten at a time would use all the memory that the daemon may hold. A peer
 // that gets nothing retries shortly after, and by then other daemons have the list too.
-func (c *control) packet(request spread.Fetch, now time.Time) (spread.Packet, time.Duration) {
+func (c *control) packetFor(request spread.Fetch, now time.Time) (spread.Packet, time.Duration) {
 	packet := c.archive.Packet(request)
 	if len(packet.Whole) < largeValueBytes {
 		return packet, 0
@@ -197,12 +197,12 @@
 // applyMembership records the state that a peer reports of itself and the news that it forwards of others.
 func (c *control) applyMembership(digest spread.Digest, now time.Time) {
 	changed := c.members.Hear(member.News{Host: digest.Host, Incarnation: digest.Incarnation, Leaving: digest.Leaving}, now)
-	for _, n := range digest.News {
-		if n.Host == c.daemon.settings.Host {
-			c.refuteLeaving(n)
+	for _, news := range digest.News {
+		if news.Host == c.daemon.settings.Host {
+			c.refuteLeaving(news)
 			continue
 		}
-		changed = c.members.Hear(n, now) || changed
+		changed = c.members.Hear(news, now) || changed
 	}
 	if changed {
 		c.pushMembership(now)
--- a/internal/app/daemon/spreading_test.go
+++ b/internal/app/daemon/spreading_test.go
@@ -22,7 +22,7 @@
 		whole := 0
 		var longest time.Duration
 		for range 40 {
-			packet, wait := c.packet(spread.Fetch{Kind: lists.KindKeys}, now)
+			packet, wait := c.packetFor(spread.Fetch{Kind: lists.KindKeys}, now)
 			if len(packet.Whole) > 0 {
 				whole++
 			}
@@ -30,9 +30,9 @@
 		}
 		So(whole, ShouldEqual, int(maxLargeValueWait/largeValueInterval)+1)
 		So(longest, ShouldEqual, maxLargeValueWait)
-		_, wait := c.packet(spread.Fetch{Kind: lists.KindPlans}, now)
+		_, wait := c.packetFor(spread.Fetch{Kind: lists.KindPlans}, now)
 		So(wait, ShouldEqual, 0)
-		packet, wait := c.packet(spread.Fetch{Kind: lists.KindKeys}, now.Add(maxLargeValueWait+largeValueInterval))
+		packet, wait := c.packetFor(spread.Fetch{Kind: lists.KindKeys}, now.Add(maxLargeValueWait+largeValueInterval))
 		So(packet.Whole, ShouldHaveLength, 1<<20)
 		So(wait, ShouldEqual, 0)
 	})
