--- a/internal/app/daemon/answers.go
+++ b/internal/app/daemon/answers.go
@@ -10,42 +10,42 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// answerKind is what answers are counted by.
+// answerKind is the pair of labels by which responses are counted.
 type answerKind struct {
 	outcome call.Outcome
 	reason  call.Reason
 }
 
-// answerCount is the metrics of one kind of answer.
-type answerCount struct {
+// kindMetrics holds the metrics of one kind of response.
+type kindMetrics struct {
 	answers tally.Counter
 	seconds tally.Histogram
 }
 
-// answerCounts keeps the metrics of every kind of answer that came up: making
-// a tagged scope costs 2 µs and five allocations, each time anew.
-type answerCounts struct {
+// answerMetrics caches the metrics of every kind of response seen so far, since creating a tagged scope costs five
+// allocations each time.
+type answerMetrics struct {
 	scope telemetry.Scope
-	kinds sync.Map // answerKind to *answerCount
+	kinds sync.Map // answerKind to *kindMetrics
 }
 
-func newAnswerCounts(scope telemetry.Scope) *answerCounts { return &answerCounts{scope: scope} }
+func newAnswerMetrics(scope telemetry.Scope) *answerMetrics { return &answerMetrics{scope: scope} }
 
-// add counts one answer that took so long.
-func (a *answerCounts) add(answer call.Answer, took time.Duration) {
-	count := a.of(answerKind{answer.Outcome, answer.Reason})
+// add records one response and how long the request took.
+func (m *answerMetrics) add(answer call.Answer, duration time.Duration) {
+	count := m.forKind(answerKind{answer.Outcome, answer.Reason})
 	count.answers.Inc(1)
-	count.seconds.RecordDuration(took)
+	count.seconds.RecordDuration(duration)
 }
 
-func (a *answerCounts) of(kind answerKind) *answerCount {
-	if kept, ok := a.kinds.Load(kind); ok {
-		return kept.(*answerCount)
+func (m *answerMetrics) forKind(kind answerKind) *kindMetrics {
+	if known, ok := m.kinds.Load(kind); ok {
+		return known.(*kindMetrics)
 	}
-	scope := a.scope.Tagged(map[string]string{"outcome": kind.outcome.String(), "reason": kind.reason.String()})
-	kept, _ := a.kinds.LoadOrStore(kind, &answerCount{
+	scope := m.scope.Tagged(map[string]string{"outcome": kind.outcome.String(), "reason": kind.reason.String()})
+	stored, _ := m.kinds.LoadOrStore(kind, &kindMetrics{
 		answers: scope.Counter(telemetry.Answers),
 		seconds: scope.Latencies(telemetry.AnswerSeconds),
 	})
-	return kept.(*answerCount)
+	return stored.(*kindMetrics)
 }
--- a/internal/app/daemon/chain_test.go
+++ b/internal/app/daemon/chain_test.go
@@ -14,9 +14,9 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// chainDaemon has lists with one operation of low priority, and nothing that needs a socket.
-func chainDaemon() *Daemon {
-	d := &Daemon{owner: &owner{chains: newChains()}}
+// subCallDaemon has one operation with background priority and no sockets.
+func subCallDaemon() *Daemon {
+	d := &Daemon{executor: &executor{runs: newActiveRuns()}}
 	plans := &lists.Plans{Organisations: []lists.Organisation{{Organisation: "dealer", Plan: "full", Rate: 1, Burst: 1}}}
 	uses := &lists.Uses{
 		Operations: []lists.Operation{{Operation: "repairs.notes", Service: "repairs", Method: "POST", Path: "/notes", Priority: "background"}},
@@ -26,15 +26,14 @@
 	return d
 }
 
-// A lookup calls a service whose operation is of low priority in the list. If
-// the call took that priority, or a deadline of its own, it would be shed or
-// outlive the request it belongs to, and the work above it would be for nothing.
-func TestCallsOfAnUpstreamCarryTheRequest(t *testing.T) {
-	Convey("Priority, deadline, organisation, request id and budget come from the request that is running", t, func() {
-		d, now := chainDaemon(), time.Now()
+// A running request calls a service whose operation is listed with background priority. If the sub-call took that
+// priority, or a deadline of its own, it would be shed or outlive its request, and the work done so far would be wasted.
+func TestSubCallsInheritFromTheRequest(t *testing.T) {
+	Convey("Priority, deadline, organisation, request ID and budget of a sub-call come from the running request", t, func() {
+		d, now := subCallDaemon(), time.Now()
 		running := &call.Request{ID: "r1", Organisation: "dealer", Priority: call.Interactive, Deadline: now.Add(time.Second), Depth: 3}
 		account := budget.New(5)
-		token, _ := d.owner.chains.open(running, account)
+		token, _ := d.executor.runs.add(running, account)
 		r, _ := http.NewRequest(http.MethodPost, "http://daemon/repairs/notes", nil)
 		r.Header.Set(upstream.HeaderToken, token)
 		r.Header.Set(upstream.HeaderTimeout, "60000")
@@ -47,10 +46,10 @@
 		So(a.request.Depth, ShouldEqual, 4)
 		So(a.account, ShouldPointTo, account)
 	})
-	Convey("A token ends with its request", t, func() {
-		d := chainDaemon()
-		token, _ := d.owner.chains.open(&call.Request{Organisation: "dealer"}, budget.New(1))
-		d.owner.chains.shut(token)
+	Convey("A run token is invalid after its request has ended", t, func() {
+		d := subCallDaemon()
+		token, _ := d.executor.runs.add(&call.Request{Organisation: "dealer"}, budget.New(1))
+		d.executor.runs.remove(token)
 		r, _ := http.NewRequest(http.MethodPost, "http://daemon/repairs/notes", nil)
 		r.Header.Set(upstream.HeaderToken, token)
 		_, refusal, ok := d.admit(r, nil, time.Now())
@@ -59,26 +58,26 @@
 	})
 }
 
-// The deepest service becomes slow. Each service above it is slow as well; if
-// that counted as its own latency, all of them would lower their limits.
-func TestTimeOfNestedCallsIsTakenOut(t *testing.T) {
-	Convey("Calls side by side count once, and one that is still out counts up to now", t, func() {
+// The deepest service becomes slow, and so does each service above it. If they counted the wait for sub-calls as their
+// own latency, all of them would lower their concurrency limits.
+func TestSubCallTimeIsExcluded(t *testing.T) {
+	Convey("Parallel sub-calls count once, and one still in flight counts up to now", t, func() {
 		var waited, later time.Duration
 		var pressure float64
 		synctest.Test(t, func(*testing.T) {
-			o := &origin{}
+			p := &parentRun{}
 			time.Sleep(time.Second)
-			o.enter(time.Now())
+			p.callStarted(time.Now())
 			time.Sleep(time.Second)
-			o.enter(time.Now())
+			p.callStarted(time.Now())
 			time.Sleep(time.Second)
-			o.exit(time.Now(), 1)
-			o.exit(time.Now(), 0)
+			p.callEnded(time.Now(), 1)
+			p.callEnded(time.Now(), 0)
 			time.Sleep(time.Second)
-			waited, pressure = o.waited(time.Now())
-			o.enter(time.Now())
+			waited, pressure = p.waited(time.Now())
+			p.callStarted(time.Now())
 			time.Sleep(time.Second)
-			later, _ = o.waited(time.Now())
+			later, _ = p.waited(time.Now())
 		})
 		So(waited, ShouldEqual, 2*time.Second)
 		So(pressure, ShouldEqual, 1)
--- a/internal/app/daemon/chains.go
+++ b/internal/app/daemon/chains.go
@@ -9,83 +9,81 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// origin is the running request that an upstream's own calls belong to.
-type origin struct {
+// parentRun is a request that the local upstream is running, as the parent of the upstream's sub-calls.
+type parentRun struct {
 	request *call.Request
 	account *budget.Account
 
-	mu       sync.Mutex
-	calls    int
-	since    time.Time
-	nested   time.Duration
-	pressure float64
+	mu           sync.Mutex
+	openCalls    int
+	waitingSince time.Time
+	waitedBefore time.Duration
+	pressure     float64
 }
 
-// enter notes that the upstream waits for one of its own calls.
-func (o *origin) enter(now time.Time) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.calls == 0 {
-		o.since = now
+// callStarted records that the upstream has begun to wait for a sub-call.
+func (p *parentRun) callStarted(now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.openCalls == 0 {
+		p.waitingSince = now
 	}
-	o.calls++
+	p.openCalls++
 }
 
-// exit notes the end of one of the upstream's own calls and the pressure that came back with it.
-func (o *origin) exit(now time.Time, pressure float64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.calls--
-	if o.calls == 0 {
-		o.nested += now.Sub(o.since)
+// callEnded records the end of a sub-call and the pressure that its response reported.
+func (p *parentRun) callEnded(now time.Time, pressure float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.openCalls--
+	if p.openCalls == 0 {
+		p.waitedBefore += now.Sub(p.waitingSince)
 	}
-	o.pressure = max(o.pressure, pressure)
+	p.pressure = max(p.pressure, pressure)
 }
 
-// waited returns how long the upstream waited for its own calls, and the highest pressure that it met.
+// waited returns how long the upstream has waited for sub-calls, and the highest pressure that their responses reported.
 //
-// A slow deep service makes each service above it slow as well. Without this
-// time taken out, every hop would lower its own limit for a fault that isn't
-// its own, and the whole chain would run at a fraction of what it can.
-func (o *origin) waited(now time.Time) (time.Duration, float64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.calls > 0 {
-		return o.nested + now.Sub(o.since), o.pressure
+// A slow service deep in the call graph slows every service above it. If this time were counted, every hop would lower
+// its concurrency limit for a fault that isn't its own, and the whole call path would run far below its capacity.
+func (p *parentRun) waited(now time.Time) (time.Duration, float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.openCalls > 0 {
+		return p.waitedBefore + now.Sub(p.waitingSince), p.pressure
 	}
-	return o.nested, o.pressure
+	return p.waitedBefore, p.pressure
 }
 
-// chains maps the tokens given to the upstream to the requests it is running.
+// activeRuns maps run tokens to the requests that the local upstream is running.
 //
-// An upstream could otherwise name any organisation in its calls. The token
-// says nothing by itself, only this daemon resolves it, and it ends with the
-// request.
-type chains struct {
+// Without tokens an upstream could name any organisation in its sub-calls. A token is random and carries no data; only
+// the daemon that issued it can resolve it, and it is valid only while its request runs.
+type activeRuns struct {
 	mu      sync.Mutex
-	running map[string]*origin
+	running map[string]*parentRun
 }
 
-func newChains() *chains { return &chains{running: map[string]*origin{}} }
+func newActiveRuns() *activeRuns { return &activeRuns{running: map[string]*parentRun{}} }
 
-func (c *chains) open(r *call.Request, account *budget.Account) (string, *origin) {
+func (a *activeRuns) add(r *call.Request, account *budget.Account) (string, *parentRun) {
 	token := rand.Text()
-	o := &origin{request: r, account: account}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.running[token] = o
-	return token, o
+	run := &parentRun{request: r, account: account}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.running[token] = run
+	return token, run
 }
 
-func (c *chains) shut(token string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.running, token)
+func (a *activeRuns) remove(token string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	delete(a.running, token)
 }
 
-func (c *chains) find(token string) (*origin, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	o, ok := c.running[token]
-	return o, ok
+func (a *activeRuns) find(token string) (*parentRun, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	run, ok := a.running[token]
+	return run, ok
 }
--- a/internal/app/daemon/dispatch_test.go
+++ b/internal/app/daemon/dispatch_test.go
@@ -16,9 +16,9 @@
 	"github.com/foxtailhook/foxtailhook/internal/proof/loopback"
 )
 
-// A service has no host left, or a request no run, and its callers are refused. Without a line
-// for it the log shows requests that come in and nothing that became of them.
-func TestPlacingNowhereIsLogged(t *testing.T) {
+// A service has no host left, or a request has no budget, and the caller is refused. Without a log line for this case
+// the log shows that the request arrived but not how it ended.
+func TestRequestWithoutHostIsLogged(t *testing.T) {
 	cases := []struct {
 		name    string
 		service string
@@ -31,9 +31,9 @@
 	for _, c := range cases {
 		Convey(c.name, t, func() {
 			var out bytes.Buffer
-			d := loneDaemon(loopback.Address())
+			d := singleHostDaemon(loopback.Address())
 			d.log = telemetry.NewLog(&out, d.settings.LogLevel)
-			a := admitted{account: budget.New(c.runs), request: call.Request{
+			a := admittedRequest{account: budget.New(c.runs), request: call.Request{
 				ID: "r1", Organisation: "dealer", Operation: "lookup.find", Service: c.service, Method: http.MethodPost, Path: "/",
 				Header: http.Header{}, Deadline: time.Now().Add(time.Minute),
 			}}
--- a/internal/app/daemon/door.go
+++ b/internal/app/daemon/door.go
@@ -13,7 +13,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// Names of the headers that callers send.
+// Names of headers in callers' requests.
 const (
 	headerAuthorization  = "Authorization"
 	headerTimeout        = upstream.HeaderTimeout
@@ -21,36 +21,36 @@
 	bearer               = "Bearer "
 )
 
-// admitted is a request that passed the door, with the account its runs are drawn from.
-type admitted struct {
+// admittedRequest is a request that passed admission, with the account that pays for its runs.
+type admittedRequest struct {
 	request call.Request
 	account *budget.Account
-	// origin is the request that an upstream's call belongs to; nil for a caller's.
-	origin *origin
-	// still reports, after a wait, whether the caller's key is still in force; nil means that it need not be asked.
-	still func() bool
-	// token is what a caller's request has spent of its organisation's rate.
+	// parent is the run on whose behalf the local upstream sent the request; nil for a caller's request.
+	parent *parentRun
+	// keyValid reports whether the caller's key is still valid, for checks after a wait; nil means that no check is needed.
+	keyValid func() bool
+	// token is the rate-limit token that a caller's request has spent.
 	token rate.Token
 }
 
-// admit decides in the order key, plan, rate, overload, so that nothing is
-// spent on a request that an earlier check refuses. The rate goes before overload, since an
-// organisation over its rate would else use up what the door lets in; a token goes back
-// when the door, or later a queue, refuses.
-func (d *Daemon) admit(r *http.Request, body []byte, now time.Time) (admitted, call.Answer, bool) {
+// admit checks the key, the plan, the rate limit and overload, in this order, so that nothing is spent on a request
+// that an earlier check refuses. The rate limit is checked before overload, since an organisation above its rate
+// limit would otherwise use up what the throttle admits. The token is returned if the throttle or, later, a queue
+// refuses the request.
+func (d *Daemon) admit(r *http.Request, body []byte, now time.Time) (admittedRequest, call.Answer, bool) {
 	if token := r.Header.Get(upstream.HeaderToken); token != "" {
-		return d.admitChained(r, token, body)
+		return d.admitSubCall(r, token, body)
 	}
 	return d.admitCaller(r, body, now)
 }
 
-func (d *Daemon) admitCaller(r *http.Request, body []byte, now time.Time) (admitted, call.Answer, bool) {
-	if !d.awaitTakes(r, now) {
+func (d *Daemon) admitCaller(r *http.Request, body []byte, now time.Time) (admittedRequest, call.Answer, bool) {
+	if !d.waitToAccept(r, now) {
 		return refuse(call.NotReady, time.Second)
 	}
-	// Loaded after the question whether the lists are current: a thread that was
-	// held up between the two would otherwise hold the lists from before a pause
-	// against the answer from after it, and let a withdrawn key in.
+	// The view is loaded after the check that the lists are current. In the other order, a goroutine that was
+	// suspended between the two could combine lists from before a pause of the process with a check made after
+	// it, and admit a withdrawn key.
 	view := d.view.Load()
 	key, ok := strings.CutPrefix(r.Header.Get(headerAuthorization), bearer)
 	if !ok {
@@ -69,71 +69,70 @@
 		return refuse(call.BadRequest, 0)
 	}
 	a.request.Deadline = now.Add(timeout)
-	a.request.ID = newID()
-	a.still = d.keyStill(view, key, organisation)
+	a.request.ID = newRequestID()
+	a.keyValid = d.keyCheck(view, key, organisation)
 	a.account = budget.New(a.request.Budget)
-	token, wait, ok := d.rates.Spend(r.Context(), organisation)
+	token, wait, ok := d.rateLimiter.Spend(r.Context(), organisation)
 	if !ok {
-		return refuse(call.OverRate, d.rates.borrower.ComeBack(organisation, wait, time.Now()))
+		return refuse(call.OverRate, d.rateLimiter.borrower.ComeBack(organisation, wait, time.Now()))
 	}
 	a.token = token
-	if back, ok := d.doors.Admit(now, organisation, a.request.Operation); !ok {
-		d.rates.giveBack(&a)
-		return refuse(call.Overloaded, back)
+	if retryAfter, ok := d.throttles.Admit(now, organisation, a.request.Operation); !ok {
+		d.rateLimiter.returnToken(&a)
+		return refuse(call.Overloaded, retryAfter)
 	}
 	return a, call.Answer{}, true
 }
 
-// admitChained admits a call that the local upstream makes on behalf of a
-// request it is running. Organisation, deadline, priority and budget come from
-// what this daemon remembers, never from what the upstream says; the rate was
-// spent when the request came in.
-func (d *Daemon) admitChained(r *http.Request, token string, body []byte) (admitted, call.Answer, bool) {
-	origin, ok := d.owner.chains.find(token)
+// admitSubCall admits a sub-call that the local upstream makes on behalf of a request it is running. Organisation,
+// deadline, priority and budget come from this daemon's record of that request, never from the upstream's headers.
+// The token was spent when the caller's request was admitted.
+func (d *Daemon) admitSubCall(r *http.Request, token string, body []byte) (admittedRequest, call.Answer, bool) {
+	parent, ok := d.executor.runs.find(token)
 	if !ok {
 		return refuse(call.UnknownKey, 0)
 	}
-	a, refusal, ok := d.prepare(d.view.Load(), origin.request.Organisation, r, body)
+	a, refusal, ok := d.prepare(d.view.Load(), parent.request.Organisation, r, body)
 	if !ok {
 		return a, refusal, false
 	}
-	a.request.ID = origin.request.ID
-	a.request.Deadline = origin.request.Deadline
-	a.request.Depth = origin.request.Depth + 1
-	a.request.Priority = origin.request.Priority
-	a.account = origin.account
-	a.origin = origin
+	a.request.ID = parent.request.ID
+	a.request.Deadline = parent.request.Deadline
+	a.request.Depth = parent.request.Depth + 1
+	a.request.Priority = parent.request.Priority
+	a.account = parent.account
+	a.parent = parent
 	return a, call.Answer{}, true
 }
 
-func (d *Daemon) prepare(view *lists.View, organisation string, r *http.Request, body []byte) (admitted, call.Answer, bool) {
-	to, ok := locate(r.URL)
+func (d *Daemon) prepare(view *lists.View, organisation string, r *http.Request, body []byte) (admittedRequest, call.Answer, bool) {
+	dest, ok := locate(r.URL)
 	if !ok {
 		return refuse(call.BadRequest, 0)
 	}
-	op, ok := view.Operation(to.service, r.Method, to.path)
+	operation, ok := view.Operation(dest.service, r.Method, dest.path)
 	if !ok {
 		return refuse(call.UnknownOperation, 0)
 	}
-	if !view.Allows(organisation, op.Operation) {
+	if !view.Allows(organisation, operation.Operation) {
 		return refuse(call.NotAllowed, 0)
 	}
-	o, _ := view.Organisation(organisation)
-	runs := op.Runs
+	entry, _ := view.Organisation(organisation)
+	runs := operation.Runs
 	if runs == 0 {
 		runs = d.settings.DefaultRuns
 	}
-	return admitted{request: call.Request{
+	return admittedRequest{request: call.Request{
 		Organisation:   organisation,
-		Operation:      op.Operation,
-		Service:        to.service,
+		Operation:      operation.Operation,
+		Service:        dest.service,
 		Method:         r.Method,
-		Path:           to.sent,
-		Header:         passed(r.Header),
+		Path:           dest.requestURI,
+		Header:         forwardedHeaders(r.Header),
 		Body:           body,
-		Priority:       op.PriorityClass(),
-		Weight:         o.Weight,
-		Idempotent:     op.Idempotent,
+		Priority:       operation.PriorityClass(),
+		Weight:         entry.Weight,
+		Idempotent:     operation.Idempotent,
 		IdempotencyKey: r.Header.Get(headerIdempotencyKey),
 		Budget:         runs,
 	}}, call.Answer{}, true
@@ -151,27 +150,27 @@
 	return min(time.Duration(ms)*time.Millisecond, d.settings.MaxTimeout), true
 }
 
-func refuse(reason call.Reason, wait time.Duration) (admitted, call.Answer, bool) {
-	return admitted{}, call.Refuse(reason, wait), false
+func refuse(reason call.Reason, wait time.Duration) (admittedRequest, call.Answer, bool) {
+	return admittedRequest{}, call.Refuse(reason, wait), false
 }
 
-// kept are the headers that are the daemon's own or belong to one connection; no upstream sees them.
-var kept = []string{
+// strippedHeaders are the headers that belong to the daemon or to one connection; they aren't forwarded to upstreams.
+var strippedHeaders = []string{
 	headerAuthorization, headerTimeout, upstream.HeaderToken, upstream.HeaderOrganisation,
 	upstream.HeaderOperation, upstream.HeaderRequestID, upstream.HeaderOutcome,
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Host", "Expect",
 }
 
-func passed(h http.Header) http.Header {
-	out := h.Clone()
-	for _, name := range kept {
-		out.Del(name)
-	}
-	for name := range out {
-		if forged(name) {
-			delete(out, name)
+func forwardedHeaders(h http.Header) http.Header {
+	forwarded := h.Clone()
+	for _, name := range strippedHeaders {
+		forwarded.Del(name)
+	}
+	for name := range forwarded {
+		if isReserved(name) {
+			delete(forwarded, name)
 		}
 	}
-	return out
+	return forwarded
 }
--- a/internal/app/daemon/door_test.go
+++ b/internal/app/daemon/door_test.go
@@ -20,8 +20,9 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/spread"
 )
 
-// doorDaemon takes callers of one organisation whose whole burst, one token, is in stock; its doors are shut if asked for.
-func doorDaemon(metrics *telemetry.Metrics, shut bool, now time.Time) *Daemon {
+// admissionDaemon accepts callers of one organisation whose whole burst, one token, is cached. If throttled is set, it
+// refuses their requests for overload.
+func admissionDaemon(metrics *telemetry.Metrics, throttled bool, now time.Time) *Daemon {
 	s := settings.Default()
 	s.Host = "h"
 	self := rate.Member{Host: "h"}
@@ -33,63 +34,62 @@
 	hash := lists.HashKey("dealer-key")
 	keys := &lists.Keys{Keys: []lists.Key{{ID: "k", Organisation: "dealer", SHA256: hex.EncodeToString(hash[:])}}}
 	d := &Daemon{
-		settings: s, owner: &owner{chains: newChains()}, metrics: metrics,
-		doors: pressure.New(pressure.WithRand(func() float64 { return 0 })),
+		settings: s, executor: &executor{runs: newActiveRuns()}, metrics: metrics,
+		throttles: pressure.New(pressure.WithRand(func() float64 { return 0 })),
 	}
 	d.view.Store(lists.NewView([lists.Kinds]uint64{1, 1, 1, 1}, plans, uses, keys, &lists.Hosts{}))
-	d.standing.Store(&standing{Standing: spread.Serving, looked: now.Add(time.Second)})
+	d.servingState.Store(&servingState{Standing: spread.Serving, checked: now.Add(time.Second)})
 	limits := rate.DefaultLimits()
-	begun := now.Add(-24 * time.Hour)
-	home, borrower := rate.NewHome(self, 1, limits, begun), rate.NewBorrower("h", 1, limits)
-	home.SetPlans(plans.Organisations, begun)
-	home.SetList(1, []rate.Member{self}, begun)
+	homeStarted := now.Add(-24 * time.Hour)
+	home, borrower := rate.NewHome(self, 1, limits, homeStarted), rate.NewBorrower("h", 1, limits)
+	home.SetPlans(plans.Organisations, homeStarted)
+	home.SetList(1, []rate.Member{self}, homeStarted)
 	borrower.SetPlans(plans.Organisations)
 	borrower.SetList(1, []rate.Member{self})
 	ask, _ := borrower.Urgent("dealer", self, 1, rate.Waiting, now)
 	borrower.Hear(self, home.AnswerLease(ask.Message, now), now, now)
-	d.rates = &rates{daemon: d, borrower: borrower, seeks: newSeeks()}
+	d.rateLimiter = &rateLimiter{daemon: d, borrower: borrower, searches: newTokenSearches()}
 	for range 20 {
-		if shut {
-			d.doors.Report(now, "dealer", "lookup.read", 1, time.Second)
-			d.doors.Admit(now, "dealer", "lookup.read")
+		if throttled {
+			d.throttles.Report(now, "dealer", "lookup.read", 1, time.Second)
+			d.throttles.Admit(now, "dealer", "lookup.read")
 		}
 	}
 	return d
 }
 
-// A service is overloaded and the door refuses a caller who is inside its rate. Had the
-// refusal cost its token, the caller would come back after the trouble to be refused for its rate.
-func TestRefusalAtTheDoorCostsNoToken(t *testing.T) {
+// A service is overloaded and the throttle refuses a caller that is within its rate limit. If the refusal cost a token,
+// the caller's retry after the overload would be refused for exceeding the rate limit.
+func TestOverloadRefusalCostsNoToken(t *testing.T) {
 	cases := []struct {
-		name   string
-		shut   bool
-		reason call.Reason
-		left   int
+		name      string
+		throttled bool
+		reason    call.Reason
+		left      int
 	}{
-		{"an open door", false, call.None, 0},
-		{"a door that is shut", true, call.Overloaded, 1},
+		{"not throttled", false, call.None, 0},
+		{"throttled", true, call.Overloaded, 1},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
 			metrics := telemetry.NewMetrics("h", "a")
 			synctest.Test(t, func(t *testing.T) {
 				now := time.Now()
-				d := doorDaemon(metrics, c.shut, now)
+				d := admissionDaemon(metrics, c.throttled, now)
 				r, _ := http.NewRequest(http.MethodGet, "http://daemon/lookup/", nil)
 				r.Header.Set(headerAuthorization, bearer+"dealer-key")
 				_, refusal, _ := d.admit(r, nil, now)
-				if left := d.rates.borrower.Stock("dealer", time.Now()); refusal.Reason != c.reason || left != c.left {
-					t.Errorf("%v with %d left, not %v with %d", refusal.Reason, left, c.reason, c.left)
+				if left := d.rateLimiter.borrower.Stock("dealer", time.Now()); refusal.Reason != c.reason || left != c.left {
+					t.Errorf("refused with %v and %d tokens left, want %v and %d", refusal.Reason, left, c.reason, c.left)
 				}
 			})
 		})
 	}
 }
 
-func TestCallersOfADaemonThatWakes(t *testing.T) {
-	// A daemon's process stands still and wakes with callers' requests in its
-	// buffers. Until peers have confirmed its lists it may take none, but the
-	// callers were inside their rate and can wait a moment.
+func TestRequestsWaitForConfirmedLists(t *testing.T) {
+	// A daemon's process was paused and resumes with callers' requests in its buffers. It may not accept them until peers
+	// have confirmed its lists, but the callers are within their rate limits and can wait for a moment.
 	long, short := settings.Default().DefaultTimeout, 100*time.Millisecond
 	cases := []struct {
 		name      string
@@ -97,34 +97,34 @@
 		since     time.Duration
 		confirmed time.Duration
 		timeout   time.Duration
-		takes     bool
+		accepts   bool
 		after     time.Duration
 	}{
 		{"confirmed in time", spread.Waking, 0, 28 * time.Millisecond, long, true, 30 * time.Millisecond},
-		{"the control thread has not looked yet", spread.Serving, -time.Hour, 28 * time.Millisecond, long, true, 30 * time.Millisecond},
-		{"not confirmed", spread.Waking, 0, time.Hour, long, false, confirmWait},
-		{"not confirmed in half of the caller's time", spread.Waking, 0, time.Hour, short, false, short / 2},
+		{"the control goroutine has not noticed the pause yet", spread.Serving, -time.Hour, 28 * time.Millisecond, long, true, 30 * time.Millisecond},
+		{"not confirmed", spread.Waking, 0, time.Hour, long, false, maxConfirmWait},
+		{"not confirmed within half of the caller's timeout", spread.Waking, 0, time.Hour, short, false, short / 2},
 		{"unconfirmed for long", spread.Starting, -time.Minute, time.Hour, long, false, 0},
-		{"cut off", spread.Isolated, 0, time.Hour, long, false, 0},
+		{"isolated", spread.Isolated, 0, time.Hour, long, false, 0},
 	}
-	Convey("A request waits for the lists as long as that helps", t, func() {
+	Convey("A request waits for the confirmation of the lists, but no longer than useful", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				d := doorDaemon(telemetry.NewMetrics("h", "a"), false, time.Now())
-				var takes bool
+				d := admissionDaemon(telemetry.NewMetrics("h", "a"), false, time.Now())
+				var accepts bool
 				var after time.Duration
 				synctest.Test(t, func(*testing.T) {
-					begun := time.Now()
-					d.standing.Store(&standing{Standing: c.standing, looked: begun.Add(-time.Hour), since: begun.Add(c.since)})
+					arrived := time.Now()
+					d.servingState.Store(&servingState{Standing: c.standing, checked: arrived.Add(-time.Hour), since: arrived.Add(c.since)})
 					time.AfterFunc(c.confirmed, func() {
-						d.standing.Store(&standing{Standing: spread.Serving, looked: time.Now(), since: time.Now()})
+						d.servingState.Store(&servingState{Standing: spread.Serving, checked: time.Now(), since: time.Now()})
 					})
 					r := httptest.NewRequest(http.MethodGet, "/lookup/", nil)
 					r.Header.Set(headerTimeout, strconv.FormatInt(c.timeout.Milliseconds(), 10))
-					takes = d.awaitTakes(r, begun)
-					after = time.Since(begun)
+					accepts = d.waitToAccept(r, arrived)
+					after = time.Since(arrived)
 				})
-				So(takes, ShouldEqual, c.takes)
+				So(accepts, ShouldEqual, c.accepts)
 				So(after, ShouldEqual, c.after)
 			})
 		}
--- a/internal/app/daemon/owner_test.go
+++ b/internal/app/daemon/owner_test.go
@@ -15,42 +15,42 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// A key is withdrawn while a request of its organisation waits for a slot. The
-// request would otherwise run for someone who is no longer a customer.
-func TestWithdrawnWhileWaiting(t *testing.T) {
-	Convey("A request whose key has gone leaves the queue unrun, and its slot goes to the next", t, func() {
+// A key is withdrawn while a request of its organisation waits for a slot. Without a check after the wait the request
+// would run for an organisation that no longer has access.
+func TestKeyWithdrawnWhileQueued(t *testing.T) {
+	Convey("A request whose key was withdrawn leaves the queue without running and releases its slot", t, func() {
 		s := settings.Default()
 		s.Slots = 1
 		s.QueueTime = time.Minute
-		o := newOwner(s, upstream.New(netip.MustParseAddrPort("127.0.0.1:1")))
-		holds := &admission.Ticket{Organisation: "other", Operation: "op", Deadline: time.Now().Add(time.Minute)}
-		So(o.gate.Arrive(time.Now(), holds).Verdict, ShouldEqual, admission.Run)
+		e := newExecutor(s, upstream.New(netip.MustParseAddrPort("127.0.0.1:1")))
+		running := &admission.Ticket{Organisation: "other", Operation: "op", Deadline: time.Now().Add(time.Minute)}
+		So(e.gate.Arrive(time.Now(), running).Verdict, ShouldEqual, admission.Run)
 		answered := make(chan call.Answer)
 		go func() {
 			r := &call.Request{Organisation: "dealer", Operation: "op", Deadline: time.Now().Add(time.Minute), Budget: 4}
-			answered <- o.run(context.Background(), r, func() bool { return false })
+			answered <- e.run(context.Background(), r, func() bool { return false })
 		}()
-		for o.gate.Load().Queued == 0 {
+		for e.gate.Load().Queued == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		o.gate.Settle(time.Now(), holds, admission.Result{Own: time.Millisecond})
+		e.gate.Settle(time.Now(), running, admission.Result{Own: time.Millisecond})
 		a := <-answered
 		So(a.Outcome, ShouldEqual, call.NotRun)
 		So(a.Reason, ShouldEqual, call.UnknownKey)
 		So(a.BudgetLeft, ShouldEqual, 4)
-		So(o.gate.Load().InFlight, ShouldEqual, 0)
+		So(e.gate.Load().InFlight, ShouldEqual, 0)
 	})
 }
 
-// A booking waits in the queue until its time is nearly up. Told in the last instant, the daemon that handed
-// it on would have given up on the answer, and called a booking unknown that never ran.
-func TestRefusedWhileTheCallerStillListens(t *testing.T) {
+// A request waits in the queue until shortly before its deadline. If it were refused in the last instant, the daemon that
+// forwarded it would have stopped waiting and would report an unknown outcome for a request that never ran.
+func TestQueueRefusalBeforeTheDeadline(t *testing.T) {
 	cases := []struct {
 		timeout, left time.Duration
 	}{
 		{50 * time.Millisecond, 5 * time.Millisecond},
-		{time.Second, tellTime},
-		{10 * time.Second, tellTime},
+		{time.Second, maxRefusalTime},
+		{10 * time.Second, maxRefusalTime},
 	}
 	for _, c := range cases {
 		Convey("With a timeout of "+c.timeout.String(), t, func() {
@@ -58,13 +58,13 @@
 				s := settings.Default()
 				s.Slots = 1
 				s.QueueTime = time.Minute
-				o := newOwner(s, upstream.New(netip.MustParseAddrPort("127.0.0.1:1")))
-				holds := &admission.Ticket{Organisation: "other", Operation: "op", Deadline: time.Now().Add(time.Hour)}
-				o.gate.Arrive(time.Now(), holds)
+				e := newExecutor(s, upstream.New(netip.MustParseAddrPort("127.0.0.1:1")))
+				running := &admission.Ticket{Organisation: "other", Operation: "op", Deadline: time.Now().Add(time.Hour)}
+				e.gate.Arrive(time.Now(), running)
 				r := &call.Request{Organisation: "dealer", Operation: "op", Deadline: time.Now().Add(c.timeout), Budget: 4}
-				a := o.run(t.Context(), r, nil)
+				a := e.run(t.Context(), r, nil)
 				if left := time.Until(r.Deadline); a.Outcome != call.NotRun || left != c.left {
-					t.Errorf("%v with %s left, not %s", a.Outcome, left, c.left)
+					t.Errorf("outcome %v with %s left, want %s", a.Outcome, left, c.left)
 				}
 			})
 		})
--- a/internal/app/daemon/refused.go
+++ b/internal/app/daemon/refused.go
@@ -8,13 +8,13 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// refused returns what is known of a request that the door refused: an id, by
-// which its caller and its operator can speak of it, and whose it is.
-func (d *Daemon) refused(r *http.Request) *call.Request {
-	to, _ := locate(r.URL)
-	known := &call.Request{ID: newID(), Service: to.service, Method: r.Method, Path: to.path}
-	if origin, ok := d.owner.chains.find(r.Header.Get(upstream.HeaderToken)); ok {
-		known.ID, known.Organisation, known.Depth = origin.request.ID, origin.request.Organisation, origin.request.Depth+1
+// describeRefused returns what is known of a request that was not admitted: an ID, under which its caller and
+// the operators can refer to it, and its organisation.
+func (d *Daemon) describeRefused(r *http.Request) *call.Request {
+	dest, _ := locate(r.URL)
+	known := &call.Request{ID: newRequestID(), Service: dest.service, Method: r.Method, Path: dest.path}
+	if parent, ok := d.executor.runs.find(r.Header.Get(upstream.HeaderToken)); ok {
+		known.ID, known.Organisation, known.Depth = parent.request.ID, parent.request.Organisation, parent.request.Depth+1
 		return known
 	}
 	if key, ok := strings.CutPrefix(r.Header.Get(headerAuthorization), bearer); ok {
--- a/internal/app/daemon/truth_test.go
+++ b/internal/app/daemon/truth_test.go
@@ -10,10 +10,9 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-func TestCredible(t *testing.T) {
-	// An upstream settles a payment through one service and is refused by the
-	// next. It passes that refusal on as its own, and its caller, told that
-	// nothing ran, pays again.
+func TestNotRunIsChecked(t *testing.T) {
+	// An upstream settles a payment through one service and is refused by the next. It passes that refusal on as its own, and
+	// the caller, told that nothing ran, pays again.
 	cases := []struct {
 		name    string
 		answer  call.Answer
@@ -21,15 +20,15 @@
 		outcome call.Outcome
 		back    int
 	}{
-		{"a refusal before any call of its own", call.Refuse(call.UpstreamShed, 0), 7, call.NotRun, 8},
-		{"a refusal after a call of its own ran", call.Refuse(call.UpstreamShed, 0), 6, call.Unknown, 6},
-		{"a whole answer", call.Answer{Outcome: call.Whole}, 6, call.Whole, 6},
-		{"a lost answer", call.Lose(call.AnswerLost), 7, call.Unknown, 7},
+		{"a refusal before any sub-call", call.Refuse(call.UpstreamShed, 0), 7, call.NotRun, 8},
+		{"a refusal after a sub-call ran", call.Refuse(call.UpstreamShed, 0), 6, call.Unknown, 6},
+		{"a complete response", call.Answer{Outcome: call.Whole}, 6, call.Whole, 6},
+		{"a lost response", call.Lose(call.AnswerLost), 7, call.Unknown, 7},
 	}
-	Convey("An upstream's not run counts only if nothing was spent", t, func() {
+	Convey("An upstream's claim of not run is accepted only if its sub-calls spent nothing", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				a := credible(&call.Request{Budget: 8}, c.answer, c.left)
+				a := checkNotRun(&call.Request{Budget: 8}, c.answer, c.left)
 				So(a.Outcome, ShouldEqual, c.outcome)
 				So(a.BudgetLeft, ShouldEqual, c.back)
 			})
@@ -37,9 +36,9 @@
 	})
 }
 
-func TestPassedHeaders(t *testing.T) {
-	// A caller names an organisation, a budget or a token of its own, spelled so
-	// that an upstream behind a CGI-like interface can't tell it from the daemon's.
+func TestForwardedHeaders(t *testing.T) {
+	// A caller sets an organisation, a budget or a token of its own, spelled so that an upstream behind a CGI-like interface
+	// can't distinguish it from the daemon's header.
 	cases := []struct {
 		name   string
 		passes bool
@@ -54,24 +53,24 @@
 		{"X-Foxtailhook", true},
 		{"Accept", true},
 	}
-	Convey("No header of the system's own, and no key, is passed on", t, func() {
+	Convey("Reserved headers, keys and connection headers are not forwarded", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				So(len(passed(http.Header{c.name: {"x"}})) == 1, ShouldEqual, c.passes)
+				So(len(forwardedHeaders(http.Header{c.name: {"x"}})) == 1, ShouldEqual, c.passes)
 			})
 		}
 	})
 }
 
-func TestTimeForTheAnswer(t *testing.T) {
+func TestReturnTimeIsReserved(t *testing.T) {
 	cases := []struct{ left, want time.Duration }{
 		{time.Second, 995 * time.Millisecond},
 		{20 * time.Millisecond, 18 * time.Millisecond},
 		{0, 0},
 	}
-	Convey("A handed-on request leaves time for its answer", t, func() {
+	Convey("A forwarded request leaves time for the reply", t, func() {
 		for _, c := range cases {
-			h := newHandoff(&call.Request{Deadline: time.Unix(100, 0).Add(c.left)}, time.Unix(100, 0))
+			h := newRunRequest(&call.Request{Deadline: time.Unix(100, 0).Add(c.left)}, time.Unix(100, 0))
 			So(h.Remaining, ShouldEqual, c.want)
 		}
 	})
