--- a/internal/fleet/rate/asking.go
+++ b/internal/fleet/rate/asking.go
@@ -2,135 +2,136 @@
 
 import "time"
 
-// asking is the order in which members are asked.
-type asking struct {
-	// unlisted tells when members that the list lacks were last asked; seats tell it of the others.
-	unlisted map[Member]time.Time
-	// missed are the members asked again because they had not answered.
-	missed map[Member]bool
-	latest time.Time
-	// restUntil is when to look again after nobody was due, unless something was learnt since the generation.
-	restUntil  time.Time
+// askSchedule decides which member is asked for its statement next.
+type askSchedule struct {
+	// unlistedAskedAt has when members that are not listed were last asked; memberState has it of the others.
+	unlistedAskedAt map[Member]time.Time
+	// silent are the members that were asked again because they had not answered.
+	silent    map[Member]bool
+	lastAskAt time.Time
+	// idleUntil is when to search again after no member was due, unless the generation has changed since.
+	idleUntil  time.Time
 	generation uint64
 }
 
-// Paces of the questions. A steady round takes a quarter of a tenure, so that
-// three in a row may be lost; after a change of the list the members that are
-// not known to have it are asked fast at first, so that a shard stands idle
-// for seconds, then slowly, so that a dead rack costs little.
+// Intervals between requests for statements. A steady round takes a quarter of a tenure, so
+// that three in a row may be lost. After a change of the list the members that are not known
+// to have it are asked at the fast interval for some rounds, so that a shard is unused only
+// for seconds, then at the slow one, so that an unreachable rack costs little.
 const (
-	fastPace   = 20 * time.Millisecond
-	slowPace   = 250 * time.Millisecond
-	fastRounds = 4
-	perTenure  = 4
+	fastAskInterval = 20 * time.Millisecond
+	slowAskInterval = 250 * time.Millisecond
+	fastRounds      = 4
+	roundsPerTenure = 4
 )
 
-// A member that did not answer is asked again after silentPace, and after answerTime while others that were silent answer.
+// A member that did not answer is asked again after silentAskInterval, or after recoveryAskInterval
+// shortly after a change, such as an answer from another silent member.
 //
-// Made for regions that find each other again. Left to the steady round, a home that lost its right to lend
-// meanwhile would wait for a quarter of a tenure after the heal, and organisations would be refused as over their
-// rate while all hosts are well. 3,400 daemons together ask a host that is down 340 times a second, and one
-// daemon asks no more often than slowPace, however many are down.
+// Designed for the end of a partition between regions. In the steady round alone, a home that lost its
+// right to lend meanwhile would wait for a quarter of a tenure after the partition, and organisations would be
+// refused as above their rate while all hosts are well. 3,400 daemons together ask a host that is down 340 times
+// a second, and one daemon asks no more often than slowAskInterval, however many are down.
 const (
-	silentPace = 10 * time.Second
-	answerTime = 2 * time.Second
+	silentAskInterval   = 10 * time.Second
+	recoveryAskInterval = 2 * time.Second
 )
 
-// NextAsk returns the member to ask now, or false while it is too early.
+// NextAsk returns the member to ask now, or false while none is due.
 func (m *Membership) NextAsk(now time.Time) (Member, bool) {
-	if now.Sub(m.asking.latest) < fastPace || m.resting(now) {
+	if now.Sub(m.schedule.lastAskAt) < fastAskInterval || m.idle(now) {
 		return Member{}, false
 	}
-	e, ok := m.unsure(now)
+	member, ok := m.nextUnconfirmed(now)
 	if !ok {
-		e, ok = m.longest(now)
+		member, ok = m.nextInRound(now)
 	}
 	if ok {
-		m.asked(e, now)
-		return e, true
+		m.recordAsk(member, now)
+		return member, true
 	}
-	m.asking.restUntil, m.asking.generation = now.Add(slowPace), m.generation
+	m.schedule.idleUntil, m.schedule.generation = now.Add(slowAskInterval), m.generation
 	return Member{}, false
 }
 
-// asked notes that a question goes out.
-func (m *Membership) asked(e Member, now time.Time) {
-	m.asking.latest = now
-	if at, ok := m.places[e]; ok {
-		s := &m.seats[at]
+// recordAsk records that the member is asked now.
+func (m *Membership) recordAsk(member Member, now time.Time) {
+	m.schedule.lastAskAt = now
+	if index, ok := m.indexes[member]; ok {
+		s := &m.states[index]
 		if s.unanswered() {
-			m.asking.missed[e] = true
+			m.schedule.silent[member] = true
 		}
-		s.asked = now
+		s.askedAt = now
 		return
 	}
-	m.asking.unlisted[e] = now
+	m.schedule.unlistedAskedAt[member] = now
 }
 
-// resting spares a process the look through thousands of members at each tick, which
-// would take a good part of the time it may spend on control while nothing happens.
-func (m *Membership) resting(now time.Time) bool {
-	return m.asking.generation == m.generation && now.Before(m.asking.restUntil)
+// idle avoids the search through thousands of members at each tick, which would take a good
+// part of the time that a process may spend on control while nothing happens.
+func (m *Membership) idle(now time.Time) bool {
+	return m.schedule.generation == m.generation && now.Before(m.schedule.idleUntil)
 }
 
-// answered notes that a member answered. One that was silent before lets the others that are be asked fast.
-func (m *Membership) answered(e Member, now time.Time) {
-	if m.asking.missed[e] {
-		delete(m.asking.missed, e)
-		m.touch(now)
+// recordAnswer records that a member answered. If it was silent before, the other silent members are asked sooner.
+func (m *Membership) recordAnswer(member Member, now time.Time) {
+	if m.schedule.silent[member] {
+		delete(m.schedule.silent, member)
+		m.markChanged(now)
 	}
 }
 
-// unsure returns the member asked longest ago of those not known to vouch for this list, or silent.
-func (m *Membership) unsure(now time.Time) (Member, bool) {
-	pace, silence := slowPace, silentPace
-	if now.Sub(m.changed) < fastRounds*fastPace*time.Duration(len(m.roster.members)+1) {
-		pace, silence = fastPace, answerTime
+// nextUnconfirmed returns the least recently asked of the members that are silent or not known to confirm this list.
+func (m *Membership) nextUnconfirmed(now time.Time) (Member, bool) {
+	interval, silentInterval := slowAskInterval, silentAskInterval
+	if now.Sub(m.changedAt) < fastRounds*fastAskInterval*time.Duration(len(m.roster.members)+1) {
+		interval, silentInterval = fastAskInterval, recoveryAskInterval
 	}
-	if now.Sub(m.asking.latest) < pace {
+	if now.Sub(m.schedule.lastAskAt) < interval {
 		return Member{}, false
 	}
-	best, last, found := m.first(func(s *seat) bool {
-		return s.version != m.version || !s.vouching || s.unanswered() && now.Sub(s.asked) >= silence
+	best, lastAskedAt, found := m.leastRecentlyAsked(func(s *memberState) bool {
+		return s.version != m.version || !s.confirming || s.unanswered() && now.Sub(s.askedAt) >= silentInterval
 	})
-	for e, f := range m.flips {
-		if f.in || e == m.self || m.listed[e] || m.old(f, now) || m.said[e].version >= f.version {
+	for member, change := range m.changes {
+		if change.added || member == m.self || m.listed[member] || m.fenceElapsed(change, now) || m.statements[member].version >= change.version {
 			continue
 		}
-		if at := m.asking.unlisted[e]; !found || at.Before(last) {
-			best, last, found = e, at, true
+		if askedAt := m.schedule.unlistedAskedAt[member]; !found || askedAt.Before(lastAskedAt) {
+			best, lastAskedAt, found = member, askedAt, true
 		}
 	}
 	return best, found
 }
 
-// first returns the member asked longest ago of those that are wanted, and when that was.
-func (m *Membership) first(want func(*seat) bool) (best Member, last time.Time, found bool) {
-	own, at := m.own(), -1
-	for i := range m.seats {
-		s := &m.seats[i]
-		if i != own && want(s) && (at < 0 || s.asked.Before(m.seats[at].asked)) {
-			at = i
+// leastRecentlyAsked returns the least recently asked of the wanted members, and when that was.
+func (m *Membership) leastRecentlyAsked(wanted func(*memberState) bool) (best Member, askedAt time.Time, found bool) {
+	ownIndex, oldest := m.ownIndex(), -1
+	for i := range m.states {
+		s := &m.states[i]
+		if i != ownIndex && wanted(s) && (oldest < 0 || s.askedAt.Before(m.states[oldest].askedAt)) {
+			oldest = i
 		}
 	}
-	if at < 0 {
+	if oldest < 0 {
 		return Member{}, time.Time{}, false
 	}
-	return m.roster.members[at], m.seats[at].asked, true
+	return m.roster.members[oldest], m.states[oldest].askedAt, true
 }
 
-// longest returns the member asked longest ago if the steady round has come to it.
-func (m *Membership) longest(now time.Time) (Member, bool) {
-	best, last, found := m.first(func(*seat) bool { return true })
-	return best, found && now.Sub(last) >= m.limits.Tenure()/perTenure
+// nextInRound returns the least recently asked member if it is due in the steady round.
+func (m *Membership) nextInRound(now time.Time) (Member, bool) {
+	best, askedAt, found := m.leastRecentlyAsked(func(*memberState) bool { return true })
+	return best, found && now.Sub(askedAt) >= m.limits.Tenure()/roundsPerTenure
 }
 
-// Others returns the other members of the list, those who are told when this process lets go.
+// Others returns the other members of the list, which must learn that this process gives up its shards.
 func (m *Membership) Others() []Member {
 	var others []Member
-	for _, e := range m.roster.members {
-		if e != m.self {
-			others = append(others, e)
+	for _, member := range m.roster.members {
+		if member != m.self {
+			others = append(others, member)
 		}
 	}
 	return others
--- a/internal/fleet/rate/bucket.go
+++ b/internal/fleet/rate/bucket.go
@@ -8,27 +8,30 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// bucket is one organisation's tokens at a home, over the shards that the home holds.
+// bucket is one organisation's token bucket at a home, over the shards that the home holds.
 //
-// Tokens that are lent and not known to be spent still count against its
-// size: they may be spent in one instant, on top of what refilled meanwhile.
+// Outstanding tokens, which are lent and not known to be spent, still count against its
+// size: they may be spent at one instant, on top of what the rate has refilled meanwhile.
 type bucket struct {
-	plan    lists.Organisation
-	rate    float64
-	size    float64
-	balance float64
-	last    time.Time
-
-	held       [maxShards]bool
-	mine       [maxShards]bool
+	plan       lists.Organisation
+	rate       float64
+	size       float64
+	balance    float64
+	refilledAt time.Time
+
+	// held are the shards that the home lends from now, assigned those that the host list of the version gives it.
+	held     [maxShards]bool
+	assigned [maxShards]bool
+	// version, generation and lapses are the membership's at the last review.
 	version    uint64
 	generation uint64
 	lapses     uint64
-	looked     time.Time
+	reviewedAt time.Time
 
-	out      Parts
-	accounts map[accountKey]*list.Element
-	order    *list.List
+	outstanding Parts
+	accounts    map[accountKey]*list.Element
+	// byExtension orders the accounts by their last reply, the one that expires first in front.
+	byExtension *list.List
 }
 
 type accountKey struct {
@@ -37,8 +40,9 @@
 	account     uint64
 }
 
-// lent is one account of a borrower; expires is when the borrower has stopped spending from it for certain.
-type lent struct {
+// loanAccount is one account of a borrower: birth identifies it at this home, seq is the number of its last
+// lease request, and expires is when the borrower has certainly stopped spending from it.
+type loanAccount struct {
 	key      accountKey
 	birth    uint64
 	seq      uint64
@@ -48,95 +52,97 @@
 	expires  time.Time
 }
 
-func (l *lent) out() Parts { return l.granted - l.spent - l.returned }
+func (a *loanAccount) outstanding() Parts {
+	return a.granted - a.spent - a.returned
+}
 
 func newBucket(o lists.Organisation, now time.Time) *bucket {
-	return &bucket{plan: o, last: now, accounts: map[accountKey]*list.Element{}, order: list.New()}
+	return &bucket{plan: o, refilledAt: now, accounts: map[accountKey]*list.Element{}, byExtension: list.New()}
 }
 
-// refill adds what the rate brought since the last time, then forgets the
-// accounts that ran out. In this order, room that an account frees counts
-// from now on and not from before.
+// refill adds the tokens of the rate since the last refill, then drops expired
+// accounts. In this order, the capacity that an account frees counts from now on
+// and not for the time before.
 func (b *bucket) refill(now time.Time) {
-	if now.After(b.last) {
-		room := max(b.size-b.out.tokens(), 0)
-		b.balance = min(b.balance+b.rate*now.Sub(b.last).Seconds(), room)
-		b.last = now
+	if now.After(b.refilledAt) {
+		capacity := max(b.size-b.outstanding.tokens(), 0)
+		b.balance = min(b.balance+b.rate*now.Sub(b.refilledAt).Seconds(), capacity)
+		b.refilledAt = now
 	}
-	for e := b.order.Front(); e != nil; e = b.order.Front() {
-		l := e.Value.(*lent)
-		if now.Before(l.expires) {
+	for element := b.byExtension.Front(); element != nil; element = b.byExtension.Front() {
+		account := element.Value.(*loanAccount)
+		if now.Before(account.expires) {
 			break
 		}
-		b.out -= l.out()
-		b.order.Remove(e)
-		delete(b.accounts, l.key)
+		b.outstanding -= account.outstanding()
+		b.byExtension.Remove(element)
+		delete(b.accounts, account.key)
 	}
 }
 
-// resize takes over a rate and size; what is above the new size is lost.
+// resize sets the rate and size; tokens above the new size are lost.
 func (b *bucket) resize(rate, size float64) {
 	b.rate, b.size = rate, size
-	b.balance = min(b.balance, max(size-b.out.tokens(), 0))
+	b.balance = min(b.balance, max(size-b.outstanding.tokens(), 0))
 }
 
-// settle takes over what the borrower tells of its account; false means that
-// there is no such account. An account that ran out must not come back under
+// settle applies what the borrower reports about its account; false means that
+// there is no such account. An expired account must not be reopened under
 // its old name: the borrower would go on to spend what counts as spent here.
-func (b *bucket) settle(key accountKey, item LeaseItem, birth func() uint64) (*lent, bool) {
-	e, ok := b.accounts[key]
+func (b *bucket) settle(key accountKey, item LeaseItem, birth func() uint64) (*loanAccount, bool) {
+	element, ok := b.accounts[key]
 	if !ok {
 		if item.Birth != 0 {
 			return nil, false
 		}
-		l := &lent{key: key, birth: birth()}
-		b.accounts[key] = b.order.PushBack(l)
-		return l, true
+		account := &loanAccount{key: key, birth: birth()}
+		b.accounts[key] = b.byExtension.PushBack(account)
+		return account, true
 	}
-	l := e.Value.(*lent)
-	if item.Birth != 0 && item.Birth != l.birth {
+	account := element.Value.(*loanAccount)
+	if item.Birth != 0 && item.Birth != account.birth {
 		return nil, false
 	}
-	if item.Seq <= l.seq {
-		return l, true
+	if item.Seq <= account.seq {
+		return account, true
 	}
-	before := l.out()
-	l.spent += min(max(item.Spent-l.spent, 0), l.out())
-	returned := min(max(item.Returned-l.returned, 0), l.out())
-	l.returned += returned
-	b.out -= before - l.out()
-	b.balance = min(b.balance+returned.tokens(), max(b.size-b.out.tokens(), 0))
-	return l, true
+	previous := account.outstanding()
+	account.spent += min(max(item.Spent-account.spent, 0), account.outstanding())
+	returned := min(max(item.Returned-account.returned, 0), account.outstanding())
+	account.returned += returned
+	b.outstanding -= previous - account.outstanding()
+	b.balance = min(b.balance+returned.tokens(), max(b.size-b.outstanding.tokens(), 0))
+	return account, true
 }
 
-// lend deducts tokens for an account, as many as wanted and there are.
+// lend moves tokens to an account, as many as wanted and available.
 //
-// An ask ahead of need gets only what is above half of the bucket: daemons whose
-// callers may come must not leave a daemon whose callers have come without tokens, however
-// many they are. What is out counts against the size, so no more than half lies in stock.
+// A lease request for stock (Ahead) gets only what is above half of the bucket: daemons whose callers
+// may send requests must not leave a daemon without tokens whose callers have sent them, however many
+// those daemons are. Outstanding tokens count against the size, so at most half of the bucket lies in stock.
 //
-// Fractions are lent only to a request that found no whole token anywhere: were they always, each
-// request would empty several homes, and none would have a token to lend ahead.
-func (b *bucket) lend(l *lent, item LeaseItem) Parts {
-	free := whole(int(b.balance))
+// Fractions are lent only for a caller's request that found no whole token at any home. If they always
+// were, each such request would empty several homes, and none would have a whole token to lend as stock.
+func (b *bucket) lend(account *loanAccount, item LeaseItem) Parts {
+	free := partsOf(int(b.balance))
 	switch item.Need {
 	case Ahead:
-		free = min(free, whole(int(math.Ceil(b.balance-b.size/2))))
+		free = min(free, partsOf(int(math.Ceil(b.balance-b.size/2))))
 	case Gathering:
 		free = partsIn(b.balance)
 	case Waiting:
 	}
-	n := max(min(item.Want, free), 0)
-	l.granted += n
-	b.out += n
-	b.balance -= n.tokens()
-	return n
+	amount := max(min(item.Want, free), 0)
+	account.granted += amount
+	b.outstanding += amount
+	b.balance -= amount.tokens()
+	return amount
 }
 
-// extend notes that an answer goes out now.
-func (b *bucket) extend(l *lent, expires time.Time) {
-	l.expires = expires
-	b.order.MoveToBack(b.accounts[l.key])
+// extend records that a reply is sent for the account now.
+func (b *bucket) extend(account *loanAccount, expires time.Time) {
+	account.expires = expires
+	b.byExtension.MoveToBack(b.accounts[account.key])
 }
 
 // wait returns the time until the bucket has a whole token.
@@ -148,18 +154,18 @@
 	return time.Duration(math.Min(seconds, maxWait.Seconds()) * float64(time.Second))
 }
 
-// UnsettledWait is told by a home that holds no shards now, and assumed of one that
-// does not answer: either may change at any moment, and a daemon that refused for long on such
-// word would refuse callers inside their rate.
+// UnsettledWait is the wait of a home that holds no shards now, and is assumed of one that does
+// not reply. Either may change at any moment, and a daemon that refused for longer would
+// refuse requests within the organisation's rate.
 const UnsettledWait = 50 * time.Millisecond
 
-// noTokenWait is told when nothing is known of when tokens come; maxWait bounds what a caller is told.
 const (
-	noTokenWait = time.Second
-	maxWait     = time.Hour
+	// unlistedWait is the wait of an organisation without a plan; maxWait bounds every wait.
+	unlistedWait = time.Second
+	maxWait      = time.Hour
 )
 
-// idle reports whether forgetting the bucket loses nothing: a new one fills up from when its shards were taken.
+// idle reports whether the bucket may be dropped without loss: a new one is filled for the time since its shards were taken.
 func (b *bucket) idle() bool {
 	return len(b.accounts) == 0 && b.balance >= b.size
 }
--- a/internal/fleet/rate/comeback.go
+++ b/internal/fleet/rate/comeback.go
@@ -6,34 +6,34 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/comeback"
 )
 
-// ComeBack returns when a refused request of the organisation should come back,
-// given the time until a token that Spend or a home told.
+// ComeBack returns the Retry-After delay of a refused request of the organisation, given
+// the time until the next token as returned by Spend or a home.
 //
-// It is for an organisation that sends several times its rate. Told the moment
-// of the next token alone, all its refused callers come back at once, one gets
-// the token, and the rest cost the daemon another refusal each, many times a
-// second for as long as they are over the rate. Each is given a place of its own
-// instead, at the pace at which this daemon's requests of the organisation get in;
-// the first is told the next token's time. Where that is far off, the places follow it.
+// Designed for an organisation that sends several times its rate. If all its refused callers
+// were given the time of the next token, they would retry at once, one would get the token, and
+// the rest would cost the daemon another refusal each, many times a second for as long as the
+// organisation is above its rate. So the delays are spread at the rate at which this daemon
+// admits requests of the organisation; the first is the time of the next token. Where that is
+// later than comeback.Latest, the spread is added to it.
 func (b *Borrower) ComeBack(organisation string, wait time.Duration, now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p, ok := b.purse(organisation, now)
+	c, ok := b.cache(organisation, now)
 	if !ok {
 		return wait
 	}
 	if wait > comeback.Latest {
-		return wait + p.back.Next(now, 0, p.interval())
+		return wait + c.retrySchedule.Next(now, 0, c.admitInterval())
 	}
-	return p.back.Next(now, wait, p.interval())
+	return c.retrySchedule.Next(now, wait, c.admitInterval())
 }
 
-// leastPace is the part of an organisation's rate that is assumed to get in at a
-// daemon where none did lately.
-const leastPace = 1.0 / DefaultShards
+// minAdmitShare is the fraction of an organisation's rate that a daemon is assumed to admit
+// if it has admitted less lately.
+const minAdmitShare = 1.0 / DefaultShards
 
-// interval is the time between two requests that get in here.
-func (p *purse) interval() time.Duration {
-	pace := max(p.pace, p.plan.Rate*leastPace)
-	return time.Duration(float64(time.Second) / pace)
+// admitInterval is the time between two requests that this daemon admits.
+func (c *tokenCache) admitInterval() time.Duration {
+	admitRate := max(c.admitRate, c.plan.Rate*minAdmitShare)
+	return time.Duration(float64(time.Second) / admitRate)
 }
--- a/internal/fleet/rate/comeback_test.go
+++ b/internal/fleet/rate/comeback_test.go
@@ -10,18 +10,18 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// crowd is callers of one organisation who send again as soon as they may.
-type crowd struct {
+// retryingCallers are callers of one organisation that retry as soon as they may.
+type retryingCallers struct {
 	home     *rate.Home
 	borrower *rate.Borrower
 	due      []time.Time
-	// told changes the time that a refused caller hears.
-	told func(wait time.Duration, now time.Time) time.Duration
+	// retryAfter replaces the delay that a refused caller is given.
+	retryAfter func(wait time.Duration, now time.Time) time.Duration
 
 	sent, admitted int
 }
 
-func (c *crowd) step(now time.Time) {
+func (c *retryingCallers) step(now time.Time) {
 	c.home.Tick(now)
 	for _, ask := range c.borrower.Tick(now) {
 		c.borrower.Hear(ask.Home, c.home.AnswerLease(ask.Message, now), now, now)
@@ -37,22 +37,22 @@
 			c.due[i] = now.Add(time.Second)
 			continue
 		}
-		c.due[i] = now.Add(c.told(wait, now))
+		c.due[i] = now.Add(c.retryAfter(wait, now))
 	}
 }
 
-// An organisation's program has 200 callers and a rate of 20/s. Each that is refused comes back when it was told to.
-// If all are told the moment of the next token, they come back together and nearly all are refused again: the host
-// answers refusals by the thousand, and the upstream beside it goes short of processor time.
-func TestRefusedCallersComeBackSpread(t *testing.T) {
+// An organisation has 200 callers and a rate of 20/s; refused callers retry after the delay they were given. If all
+// were given the time of the next token, they would retry together and nearly all be refused: the host answers
+// thousands of refusals, and the upstream on it gets too little processor time.
+func TestRefusedCallersRetrySpread(t *testing.T) {
 	const callers, seconds = 200, 30
 	plans := []lists.Organisation{{Organisation: "o", Plan: "p", Rate: 20, Burst: 40}}
-	run := func(spread bool) *crowd {
+	run := func(spread bool) *retryingCallers {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-		c := &crowd{home: startHome(plans, 1, now), borrower: startBorrower(plans, 1), due: make([]time.Time, callers)}
-		c.told = func(wait time.Duration, _ time.Time) time.Duration { return max(wait, 20*time.Millisecond) }
+		c := &retryingCallers{home: startHome(plans, 1, now), borrower: startBorrower(plans, 1), due: make([]time.Time, callers)}
+		c.retryAfter = func(wait time.Duration, _ time.Time) time.Duration { return max(wait, 20*time.Millisecond) }
 		if spread {
-			c.told = func(wait time.Duration, now time.Time) time.Duration { return c.borrower.ComeBack("o", wait, now) }
+			c.retryAfter = func(wait time.Duration, now time.Time) time.Duration { return c.borrower.ComeBack("o", wait, now) }
 		}
 		for range seconds * 100 {
 			now = now.Add(10 * time.Millisecond)
@@ -60,7 +60,7 @@
 		}
 		return c
 	}
-	Convey("Refused callers come back about as often as there are places, and none of the rate is lost", t, func() {
+	Convey("Refused callers retry about as often as requests are admitted, and the whole rate is used", t, func() {
 		together, spread := run(false), run(true)
 		t.Logf("sent %d, admitted %d together; sent %d, admitted %d spread", together.sent, together.admitted, spread.sent, spread.admitted)
 		So(spread.sent, ShouldBeLessThan, together.sent/5)
--- a/internal/fleet/rate/lease.go
+++ b/internal/fleet/rate/lease.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// LeaseAsk asks a home for tokens of several organisations and settles what was lent before.
+// LeaseAsk asks a home for tokens of several organisations and settles earlier loans.
 type LeaseAsk struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack    struct{} `msgpack:",as_array"`
@@ -13,28 +13,28 @@
 
 //go:generate stringer -type=Need -linecomment
 
-// Need is what a question for tokens is for.
+// Need is the purpose of a lease request.
 type Need uint8
 
-// The needs; each gets more than the one before.
+// The needs; each is granted more than the one before.
 const (
-	// Ahead asks for callers who may come.
+	// Ahead asks for tokens in stock, for requests that may arrive.
 	Ahead Need = iota // ahead
-	// Waiting asks for whole tokens, for requests that wait for the answer.
+	// Waiting asks for whole tokens, for requests that wait for the reply.
 	Waiting // waiting
-	// Gathering asks for fractions too, after no home had a whole token.
+	// Gathering asks for fractions of tokens too, after no home had a whole one.
 	Gathering // gathering
 )
 
-// LeaseItem is one organisation's part of a question. Spent and Returned are
-// totals over the account's life: a lost message is made good by the next
-// one, a doubled or late one changes nothing.
+// LeaseItem is the part of a lease request for one organisation. Spent and Returned are
+// totals over the account's lifetime: the message after a lost one makes up for it, and a
+// duplicate or late one changes nothing.
 type LeaseItem struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack     struct{} `msgpack:",as_array"`
 	Organisation string
 	Account      uint64
-	// Birth is the home's mark of the account, 0 until the borrower has heard of it.
+	// Birth identifies the account at the home; it is 0 until the borrower has received it from there.
 	Birth    uint64
 	Seq      uint64
 	Spent    Parts
@@ -51,7 +51,7 @@
 	Items       []LeaseGrant
 }
 
-// LeaseGrant is one organisation's part of an answer; Granted is the total over the account's life.
+// LeaseGrant is the part of a lease reply for one organisation; Granted is the total over the account's lifetime.
 type LeaseGrant struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack     struct{} `msgpack:",as_array"`
@@ -59,8 +59,8 @@
 	Account      uint64
 	Birth        uint64
 	Granted      Parts
-	// Closed means that the home has no such account any more; the borrower opens another.
+	// Closed means that the home no longer has the account; the borrower opens another.
 	Closed bool
-	// Wait is the time until the home has a token, when it lent none.
+	// Wait is the time until the home has a whole token.
 	Wait time.Duration
 }
--- a/internal/fleet/rate/lender.go
+++ b/internal/fleet/rate/lender.go
@@ -7,61 +7,62 @@
 )
 
 // Lender keeps the buckets of the shards whose home this process is. It has
-// state only for organisations that were asked for lately.
+// state only for organisations whose tokens were requested lately.
 type Lender struct {
 	membership *Membership
 	limits     Limits
 	plans      plans
-	// since tells when an organisation was listed that the first plans lacked; the others were there at begun.
-	since   map[string]time.Time
-	begun   time.Time
-	buckets map[string]*bucket
-	swept   time.Time
-	granted Parts
-	births  uint64
+	// listedSince has the organisations that the first plans lacked; the others have been listed since plansSince.
+	listedSince map[string]time.Time
+	plansSince  time.Time
+	buckets     map[string]*bucket
+	sweptAt     time.Time
+	granted     Parts
+	// lastBirth identifies the account that was opened last.
+	lastBirth uint64
 }
 
 // NewLender returns a lender without plans.
 func NewLender(m *Membership, l Limits) *Lender {
-	return &Lender{membership: m, limits: l, since: map[string]time.Time{}, buckets: map[string]*bucket{}}
+	return &Lender{membership: m, limits: l, listedSince: map[string]time.Time{}, buckets: map[string]*bucket{}}
 }
 
-// SetPlans takes over the organisations' rates and bursts. One that was
-// removed and comes back begins with an empty bucket.
+// SetPlans replaces the organisations' rates and bursts. An organisation that was
+// removed and is listed again starts with an empty bucket.
 func (l *Lender) SetPlans(organisations []lists.Organisation, now time.Time) {
 	next := newPlans(organisations)
 	if l.plans == nil {
-		l.begun = now
+		l.plansSince = now
 	} else {
-		l.date(next, now)
+		l.recordListed(next, now)
 	}
 	l.plans = next
 	l.reviewAll(now)
 }
 
-// date notes which organisations come with the next plans, and forgets those that go.
-func (l *Lender) date(next plans, now time.Time) {
+// recordListed records which organisations the next plans add, and forgets those that they remove.
+func (l *Lender) recordListed(next plans, now time.Time) {
 	for _, o := range next {
 		if _, ok := l.plans.find(o.Organisation); !ok {
-			l.since[o.Organisation] = now
+			l.listedSince[o.Organisation] = now
 		}
 	}
-	for name := range l.since {
+	for name := range l.listedSince {
 		if _, ok := next.find(name); !ok {
-			delete(l.since, name)
+			delete(l.listedSince, name)
 		}
 	}
 }
 
-// reviewAll lets go of what the list took away; it is called at each change of
-// the list, since the next version may give back what another held meanwhile.
+// reviewAll stops lending from the shards that the host list took away. It is called at each change
+// of the list, since the next version may give back a shard that another home held meanwhile.
 func (l *Lender) reviewAll(now time.Time) {
 	for name, b := range l.buckets {
-		l.review(name, b, now)
+		l.reviewBucket(name, b, now)
 	}
 }
 
-// Answer lends what there is; the tokens are deducted before the answer exists.
+// Answer lends what is available; the tokens are deducted before the reply exists.
 func (l *Lender) Answer(ask LeaseAsk, now time.Time) LeaseReply {
 	reply := LeaseReply{Incarnation: l.membership.incarnation, Items: make([]LeaseGrant, 0, len(ask.Items))}
 	for _, item := range ask.Items {
@@ -78,9 +79,9 @@
 		grant.Closed = true
 		return grant
 	}
-	account, ok := b.settle(key, item, l.birth)
+	account, ok := b.settle(key, item, l.nextBirth)
 	if !ok {
-		// The borrower was slow to ask and opens another account at once; the bucket may well be full.
+		// The borrower asked too late and opens another account at once; the bucket may well be full.
 		grant.Closed, grant.Wait = true, b.wait()
 		return grant
 	}
@@ -92,62 +93,62 @@
 		}
 	}
 	l.granted += lent
-	b.extend(account, now.Add(l.limits.lent()))
+	b.extend(account, now.Add(l.limits.lenderLoan()))
 	grant.Birth, grant.Granted = account.birth, account.granted
 	grant.Wait = b.wait()
 	return grant
 }
 
-// bucket returns the organisation's bucket, brought up to now.
+// bucket returns the organisation's bucket, refilled and reviewed.
 func (l *Lender) bucket(name string, now time.Time) (*bucket, bool) {
 	b, ok := l.buckets[name]
 	if !ok {
-		p, listed := l.plans.find(name)
+		plan, listed := l.plans.find(name)
 		if !listed || !l.membership.MayLend(now) {
 			return nil, false
 		}
-		b = newBucket(p, now)
-		l.review(name, b, now)
-		l.fill(name, b, now)
+		b = newBucket(plan, now)
+		l.reviewBucket(name, b, now)
+		l.fillNew(name, b, now)
 		l.buckets[name] = b
 		return b, true
 	}
-	l.review(name, b, now)
+	l.reviewBucket(name, b, now)
 	return b, true
 }
 
-// reviewEvery is how often a home looks again for shards that it may not take yet.
+// reviewEvery is how often a home checks again for shards that it may not take yet.
 const reviewEvery = time.Second
 
-// review brings the bucket up to now and, when something was learnt since, works out anew which shards it holds.
-func (l *Lender) review(name string, b *bucket, now time.Time) {
+// reviewBucket refills the bucket and, when the membership has changed or the last review is old, redetermines which shards it holds.
+func (l *Lender) reviewBucket(name string, b *bucket, now time.Time) {
 	b.refill(now)
 	m := l.membership
 	lendable := m.MayLend(now)
-	due := b.version != m.version || b.generation != m.generation || now.Sub(b.looked) >= reviewEvery
-	p, _ := l.plans.find(name)
-	if !due && p == b.plan {
+	due := b.version != m.version || b.generation != m.generation || now.Sub(b.reviewedAt) >= reviewEvery
+	plan, _ := l.plans.find(name)
+	if !due && plan == b.plan {
 		return
 	}
 	if b.lapses != m.lapses {
 		b.held = [maxShards]bool{}
 		b.balance = 0
 	}
-	l.findMine(name, b)
+	l.assignShards(name, b)
 	rate, size := 0.0, 0.0
 	for shard := range l.limits.Shards {
-		b.held[shard] = lendable && b.mine[shard] && l.holds(name, shard, b, now)
-		if b.held[shard] && p.Burst > 0 {
-			r, s := share(p, shard, l.limits.Shards)
-			rate, size = rate+r, size+s
+		b.held[shard] = lendable && b.assigned[shard] && l.mayHold(name, shard, b, now)
+		if b.held[shard] && plan.Burst > 0 {
+			shardRate, shardSize := shardPlan(plan, shard, l.limits.Shards)
+			rate, size = rate+shardRate, size+shardSize
 		}
 	}
-	b.generation, b.lapses, b.looked, b.plan = m.generation, m.lapses, now, p
+	b.generation, b.lapses, b.reviewedAt, b.plan = m.generation, m.lapses, now, plan
 	b.resize(rate, size)
 }
 
-// findMine works out, once for each version of the list, which shards it gives to this process.
-func (l *Lender) findMine(name string, b *bucket) {
+// assignShards determines, once for each version of the host list, which shards it gives to this process.
+func (l *Lender) assignShards(name string, b *bucket) {
 	m := l.membership
 	if b.version == m.version {
 		return
@@ -155,12 +156,12 @@
 	b.version = m.version
 	for shard := range l.limits.Shards {
 		home, ok := m.roster.home(shardKey(name, shard))
-		b.mine[shard] = ok && home == m.self
+		b.assigned[shard] = ok && home == m.self
 	}
 }
 
-// holds reports whether a shard stays held or may be taken now.
-func (l *Lender) holds(name string, shard int, b *bucket, now time.Time) bool {
+// mayHold reports whether a shard stays held or may be taken now.
+func (l *Lender) mayHold(name string, shard int, b *bucket, now time.Time) bool {
 	m := l.membership
 	key := shardKey(name, shard)
 	if b.held[shard] && !m.contested(key, b.generation) {
@@ -170,17 +171,17 @@
 	return ok && !now.Before(from)
 }
 
-// fill gives a bucket that was not asked for until now what came in since its
-// shards were free of any other home, since this process has had the right to
-// act, and since the organisation was listed. Nothing is known from before the
-// last fence, so no more than that is counted.
-func (l *Lender) fill(name string, b *bucket, now time.Time) {
+// fillNew gives a new bucket the tokens of the time since its shards were released
+// by other homes, since this process has had the right to lend, and since the
+// organisation was listed, whichever is latest. Nothing is known from before the
+// last fence, so no more time than that is counted.
+func (l *Lender) fillNew(name string, b *bucket, now time.Time) {
 	m := l.membership
-	since := latest(latest(m.regained, latest(l.begun, l.since[name])), now.Add(-l.limits.Fence))
+	since := later(later(m.tenureStart, later(l.plansSince, l.listedSince[name])), now.Add(-l.limits.Fence))
 	for shard := range l.limits.Shards {
 		if b.held[shard] {
 			from, _ := m.mayTake(shardKey(name, shard), now)
-			since = latest(since, from)
+			since = later(since, from)
 		}
 	}
 	if now.After(since) {
@@ -188,26 +189,27 @@
 	}
 }
 
-func (l *Lender) birth() uint64 {
-	l.births++
-	return l.births
+// nextBirth returns the identifier of a new account.
+func (l *Lender) nextBirth() uint64 {
+	l.lastBirth++
+	return l.lastBirth
 }
 
-// Tick forgets the buckets of organisations that are not asked for any more.
+// Tick drops the buckets of organisations whose tokens are no longer requested.
 func (l *Lender) Tick(now time.Time) {
-	if now.Sub(l.swept) < reviewEvery {
+	if now.Sub(l.sweptAt) < reviewEvery {
 		return
 	}
-	l.swept = now
+	l.sweptAt = now
 	for name, b := range l.buckets {
-		l.review(name, b, now)
+		l.reviewBucket(name, b, now)
 		if b.idle() {
 			delete(l.buckets, name)
 		}
 	}
 }
 
-// Holdings tells what a home has.
+// Holdings are the numbers of organisations with a bucket, of shards held, of tokens on loan (Lent) and of tokens lent since the start (Tokens).
 type Holdings struct {
 	Organisations int
 	Shards        int
@@ -215,23 +217,23 @@
 	Tokens        uint64
 }
 
-// Holdings returns the organisations with a bucket, the shards held, the tokens out on loan and all lent since the start.
+// Holdings returns the present numbers.
 func (l *Lender) Holdings() Holdings {
-	var out Parts
-	h := Holdings{Organisations: len(l.buckets), Tokens: uint64(l.granted / perToken)}
+	var outstanding Parts
+	h := Holdings{Organisations: len(l.buckets), Tokens: uint64(l.granted / partsPerToken)}
 	for _, b := range l.buckets {
-		out += b.out
+		outstanding += b.outstanding
 		for _, held := range b.held {
 			if held {
 				h.Shards++
 			}
 		}
 	}
-	h.Lent = int(out / perToken)
+	h.Lent = int(outstanding / partsPerToken)
 	return h
 }
 
-// Balance returns the organisation's tokens that may be lent, as of the last question.
+// Balance returns the organisation's tokens that may be lent, as of the last lease request.
 func (l *Lender) Balance(organisation string) float64 {
 	b, ok := l.buckets[organisation]
 	if !ok {
--- a/internal/fleet/rate/member.go
+++ b/internal/fleet/rate/member.go
@@ -9,8 +9,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// Member is a host at one address; at another address it is another member,
-// since only a bind of the same address proves that the process before it is gone.
+// Member is a host at one address. The same host at another address is another member,
+// since only a bind of the same address proves that the previous process has ended.
 type Member struct {
 	Host string         `msgpack:"host"`
 	Peer netip.AddrPort `msgpack:"peer"`
@@ -27,30 +27,30 @@
 	return all
 }
 
-// share returns the part of the organisation's rate (tokens/s) and burst
-// (whole tokens) that one of its shards carries. A plan's burst gives its
-// tokens to the first shards first, so that a greater burst takes none away.
-func share(o lists.Organisation, shard, shards int) (rate, burst float64) {
-	whole := o.Burst / shards
+// shardPlan returns the part of the organisation's rate (tokens/s) and burst
+// (whole tokens) that one of its shards has. The remainder of a burst goes to the
+// shards of the lowest numbers, so that a greater burst takes no tokens from any shard.
+func shardPlan(o lists.Organisation, shard, shards int) (rate, burst float64) {
+	tokens := o.Burst / shards
 	if shard < o.Burst%shards {
-		whole++
+		tokens++
 	}
-	return o.Rate * float64(whole) / float64(o.Burst), float64(whole)
+	return o.Rate * float64(tokens) / float64(o.Burst), float64(tokens)
 }
 
-// shardKey spreads the shards of all organisations over the hash's range.
+// shardKey spreads the shards of all organisations over the range of the hash.
 func shardKey(organisation string, shard int) uint64 {
-	return xxhash.Sum64String(organisation) + uint64(shard)*golden
+	return xxhash.Sum64String(organisation) + uint64(shard)*goldenGamma
 }
 
-// golden and the two factors are those of the splitmix64 generator.
+// The constants of the splitmix64 generator.
 const (
-	golden = 0x9e3779b97f4a7c15
-	mixA   = 0xbf58476d1ce4e5b9
-	mixB   = 0x94d049bb133111eb
+	goldenGamma = 0x9e3779b97f4a7c15
+	mixA        = 0xbf58476d1ce4e5b9
+	mixB        = 0x94d049bb133111eb
 )
 
-// rank orders the members for a shard; the highest is its home.
+// rank orders the members for a shard by rendezvous hashing; the highest is the shard's home.
 func rank(key, member uint64) uint64 {
 	x := key ^ member
 	x = (x ^ x>>30) * mixA
@@ -77,16 +77,16 @@
 	return r
 }
 
-// home returns the member that a shard belongs to, or false if there is none.
+// home returns the member that owns a shard, or false if there is none.
 func (r *roster) home(key uint64) (Member, bool) {
 	if len(r.members) == 0 {
 		return Member{}, false
 	}
-	best, top := 0, rank(key, r.hashes[0])
+	homeIndex, highest := 0, rank(key, r.hashes[0])
 	for i := 1; i < len(r.hashes); i++ {
-		if v := rank(key, r.hashes[i]); v > top {
-			best, top = i, v
+		if v := rank(key, r.hashes[i]); v > highest {
+			homeIndex, highest = i, v
 		}
 	}
-	return r.members[best], true
+	return r.members[homeIndex], true
 }
--- a/internal/fleet/rate/membership.go
+++ b/internal/fleet/rate/membership.go
@@ -7,100 +7,108 @@
 
 // Membership decides whether this process may act as a home, and for which shards.
 //
-// What goes wrong without it: a home that is cut off, paused or reads a stale
-// replica of the hosts list goes on spending a shard that another host has
-// taken over, and the organisation gets more than its rate; neither side sees
-// it. So a home acts only while a quorum of its list has told it lately that
-// it knows no newer list, and a successor begins only when a quorum has known
-// the newer list for the whole fence, or when each host that may still hold
-// the shard has itself said that it let go. Two quorums share a member, and a
-// member's version never falls, so the two can't both be true at once. All
-// answers count from when they were asked for, on this process's own clock.
+// Without this, a home that is partitioned, paused or reads a stale replica of the
+// host list goes on lending from a shard that another host has taken over, and the
+// organisation gets more than its rate; neither side notices. So a home acts
+// only while a quorum of its list has lately stated that it knows no newer list,
+// and a successor starts only when a quorum has known the newer list for the whole
+// fence, or when each host that may still hold the shard has itself stated that it
+// released it. Two quorums share a member, and a member's version never
+// decreases, so both can't be true at once. The time of a statement is that of the
+// request it answers, on this process's own clock.
 type Membership struct {
 	self        Member
 	incarnation uint64
 	limits      Limits
-	started     time.Time
+	startedAt   time.Time
 	quorum      func(members int) int
 
-	version  uint64
-	roster   roster
-	listed   map[Member]bool
-	vouching bool
-	ceased   bool
+	version uint64
+	roster  roster
+	listed  map[Member]bool
+	// confirming means that this process's statements count as confirmations of its list; false after a start, see reviewConfirming.
+	confirming bool
+	ceased     bool
 
-	flips map[Member]flip
-	said  map[Member]saying
-	ahead map[Member]heardStatement
-	// seats hold the same of the listed members, in the order of the roster; places are their numbers.
-	seats  []seat
-	places map[Member]int32
-	newest map[Member]uint64
-	handed map[Member]handedAt
+	// changes has the last change of each member that was added or removed lately.
+	changes map[Member]listChange
+	// statements has the newest statement of each member whose list is not newer than the own;
+	// pending has those for a newer list, until that arrives here.
+	statements map[Member]statementSummary
+	pending    map[Member]receivedStatement
+	// states has the same for the listed members, in the order of the roster; indexes gives their positions.
+	states            []memberState
+	indexes           map[Member]int32
+	newestIncarnation map[Member]uint64
+	// cessations has the newest incarnation of each member that gave up its shards.
+	cessations map[Member]cessation
 
-	// until ends the right to act that the confirmations so far give; weighed is when they were last gone through for it.
-	until   time.Time
-	weighed time.Time
-	// regained is when that right last began.
-	regained time.Time
-	// settled is the last version that a quorum agreed on, with its roster and the lapses until then.
-	settled       uint64
-	settledRoster roster
-	settledLapses uint64
-	// changed and generation tell when and that something was learnt that can move shards.
-	changed    time.Time
+	// tenureEnd is when the right to act ends by the confirmations so far, tenureReviewedAt when they were last sorted to find it.
+	tenureEnd        time.Time
+	tenureReviewedAt time.Time
+	// tenureStart is when that right last began.
+	tenureStart time.Time
+	// agreedVersion is the last version of the list that a quorum agreed on, with its roster and the lapses until then.
+	agreedVersion uint64
+	agreedRoster  roster
+	agreedLapses  uint64
+	// changedAt is when something was learned that can move shards, generation the number of such events.
+	changedAt  time.Time
 	generation uint64
 	// lapses counts how often the right to act was lost.
 	lapses uint64
-	// foreign holds the generation at which a member's flip was learnt from others: this process skipped that version.
-	foreign map[Member]uint64
-	// gapless is the version since which this process has seen every one.
-	gapless uint64
-	asking  asking
+	// learned has the generation at which a member's change was learned from others, because this process skipped that version.
+	learned map[Member]uint64
+	// gaplessSince is the version since which this process has received every one.
+	gaplessSince uint64
+	schedule     askSchedule
 }
 
-type flip struct {
-	in      bool
-	version uint64
-	reached time.Time
+// listChange is the last change of one member: added or removed. quorumSince is when a quorum is first known to have had the version, or zero.
+type listChange struct {
+	added       bool
+	version     uint64
+	quorumSince time.Time
 }
 
-// heardStatement is a member's statement with the times of its question and of its arrival.
-type heardStatement struct {
+// receivedStatement is a member's statement with the times at which it was asked for and received.
+type receivedStatement struct {
 	Statement
-	asked time.Time
-	heard time.Time
+	askedAt    time.Time
+	receivedAt time.Time
 }
 
-// saying is what counts of a member's newest statement that is not newer than the own list.
-type saying struct {
+// statementSummary is the relevant part of a member's newest statement whose list is not newer than
+// the own. receivedAt is when the first one of the same version and incarnation was received.
+type statementSummary struct {
 	version     uint64
 	incarnation uint64
-	vouching    bool
-	asked       time.Time
-	heard       time.Time
+	confirming  bool
+	askedAt     time.Time
+	receivedAt  time.Time
 }
 
-type handedAt struct {
+// cessation records that an incarnation of a member gave up its shards for good.
+type cessation struct {
 	incarnation uint64
-	heard       time.Time
+	receivedAt  time.Time
 }
 
 // MembershipOption sets one property of a membership.
 type MembershipOption func(*Membership)
 
-// WithQuorum replaces how many members count as the fleet's word; a smaller number is unsafe.
+// WithQuorum replaces the number of members that make a quorum; a smaller number than Quorum's is unsafe.
 func WithQuorum(quorum func(members int) int) MembershipOption {
 	return func(m *Membership) { m.quorum = quorum }
 }
 
-// NewMembership returns a membership that knows nothing; incarnations of one member must grow.
+// NewMembership returns a membership without a host list. The incarnations of one member must increase with each start.
 func NewMembership(self Member, incarnation uint64, l Limits, now time.Time, opts ...MembershipOption) *Membership {
 	m := &Membership{
-		self: self, incarnation: incarnation, limits: l, started: now, quorum: Quorum,
-		listed: map[Member]bool{}, flips: map[Member]flip{}, said: map[Member]saying{}, ahead: map[Member]heardStatement{},
-		newest: map[Member]uint64{}, handed: map[Member]handedAt{},
-		foreign: map[Member]uint64{}, asking: asking{unlisted: map[Member]time.Time{}, missed: map[Member]bool{}},
+		self: self, incarnation: incarnation, limits: l, startedAt: now, quorum: Quorum,
+		listed: map[Member]bool{}, changes: map[Member]listChange{}, statements: map[Member]statementSummary{}, pending: map[Member]receivedStatement{},
+		newestIncarnation: map[Member]uint64{}, cessations: map[Member]cessation{},
+		learned: map[Member]uint64{}, schedule: askSchedule{unlistedAskedAt: map[Member]time.Time{}, silent: map[Member]bool{}},
 	}
 	for _, opt := range opts {
 		opt(m)
@@ -108,196 +116,197 @@
 	return m
 }
 
-// SetList takes over a newer version of the hosts list.
+// SetList applies a newer version of the host list.
 func (m *Membership) SetList(version uint64, members []Member, now time.Time) {
 	if version <= m.version {
 		return
 	}
-	m.checkLapse(now)
+	m.expireTenure(now)
 	listed := make(map[Member]bool, len(members))
-	for _, e := range members {
-		listed[e] = true
+	for _, member := range members {
+		listed[member] = true
 	}
-	if m.vouching {
-		m.recordFlips(version, listed)
+	if m.confirming {
+		m.recordChanges(version, listed)
 	}
 	if version != m.version+1 {
-		m.gapless = version
+		m.gaplessSince = version
 	}
 	m.version, m.listed, m.roster = version, listed, newRoster(slices.Clone(members))
-	for from, s := range m.ahead {
+	for from, s := range m.pending {
 		if s.Version <= version {
-			delete(m.ahead, from)
-			m.adopt(s)
+			delete(m.pending, from)
+			m.apply(s)
 		}
 	}
-	m.seatAll()
-	m.touch(now)
+	m.rebuildStates()
+	m.markChanged(now)
 	m.review(now)
 }
 
-func (m *Membership) recordFlips(version uint64, listed map[Member]bool) {
-	for e := range listed {
-		if !m.listed[e] {
-			m.flips[e] = flip{in: true, version: version}
+func (m *Membership) recordChanges(version uint64, listed map[Member]bool) {
+	for member := range listed {
+		if !m.listed[member] {
+			m.changes[member] = listChange{added: true, version: version}
 		}
 	}
-	for e := range m.listed {
-		if !listed[e] {
-			m.flips[e] = flip{version: version}
+	for member := range m.listed {
+		if !listed[member] {
+			m.changes[member] = listChange{version: version}
 		}
 	}
 }
 
-// Cease gives up all shards for good; the next statements say so.
+// Cease gives up all shards for good; later statements report it.
 func (m *Membership) Cease(now time.Time) {
 	m.ceased = true
-	m.touch(now)
+	m.markChanged(now)
 }
 
-// Statement returns what this process says of itself now.
+// Statement returns this process's present statement.
 func (m *Membership) Statement(now time.Time) Statement {
-	s := Statement{From: m.self, Incarnation: m.incarnation, Version: m.version, Vouching: m.vouching, Ceased: m.ceased}
-	for e, f := range m.flips {
-		out := Flip{Member: e, In: f.in, Version: f.version, Reached: !f.reached.IsZero()}
-		if out.Reached {
-			out.Age = now.Sub(f.reached)
+	s := Statement{From: m.self, Incarnation: m.incarnation, Version: m.version, Vouching: m.confirming, Ceased: m.ceased}
+	for member, change := range m.changes {
+		flip := Flip{Member: member, In: change.added, Version: change.version, Reached: !change.quorumSince.IsZero()}
+		if flip.Reached {
+			flip.Age = now.Sub(change.quorumSince)
 		}
-		s.Flips = append(s.Flips, out)
+		s.Flips = append(s.Flips, flip)
 	}
-	for e, h := range m.handed {
-		s.Handed = append(s.Handed, Handed{Member: e, Ceased: h.incarnation, Newest: m.newest[e]})
+	for member, ceased := range m.cessations {
+		s.Handed = append(s.Handed, Handed{Member: member, Ceased: ceased.incarnation, Newest: m.newestIncarnation[member]})
 	}
 	return s
 }
 
-// Answer notes who asked and returns this process's own statement.
+// Answer records the asking member's statement and returns this process's own.
 //
-// The asker's incarnation must be noted before the answer leaves: an answer
-// that helps a restarted process to begin has to void, at the same host, the
-// word of the process before it that it let go.
+// The asker's incarnation must be recorded before the answer is sent: an answer
+// that helps a restarted process to begin must also void, at this host, the
+// statement of the process before it that it gave up its shards.
 func (m *Membership) Answer(ask Statement, now time.Time) Statement {
-	m.noteDirect(ask, now)
+	m.recordSender(ask, now)
 	return m.Statement(now)
 }
 
-// Hear takes the answer to a question that was asked at the given time.
-func (m *Membership) Hear(s Statement, asked, now time.Time) {
-	m.checkLapse(now)
-	m.noteDirect(s, now)
-	m.answered(s.From, now)
-	next := heardStatement{Statement: s, asked: asked, heard: now}
+// ApplyReply applies the statement of a member that was asked at the given time.
+func (m *Membership) ApplyReply(s Statement, asked, now time.Time) {
+	m.expireTenure(now)
+	m.recordSender(s, now)
+	m.recordAnswer(s.From, now)
+	next := receivedStatement{Statement: s, askedAt: asked, receivedAt: now}
 	if s.Version > m.version {
-		m.ahead[s.From] = next
-		if at, ok := m.places[s.From]; ok {
-			m.seats[at].ahead = s.Version
+		m.pending[s.From] = next
+		if index, ok := m.indexes[s.From]; ok {
+			m.states[index].pendingVersion = s.Version
 		}
 		return
 	}
-	m.adopt(next)
+	m.apply(next)
 	m.review(now)
 }
 
-func (m *Membership) adopt(s heardStatement) {
-	old, known := m.said[s.From]
-	if known && s.asked.Before(old.asked) {
+func (m *Membership) apply(s receivedStatement) {
+	previous, known := m.statements[s.From]
+	if known && s.askedAt.Before(previous.askedAt) {
 		return
 	}
-	for _, f := range s.Flips {
-		m.merge(f, s.heard)
+	for _, flip := range s.Flips {
+		m.mergeChange(flip, s.receivedAt)
 	}
-	for _, h := range s.Handed {
-		m.note(h.Member, h.Ceased, true, s.heard)
-		m.note(h.Member, h.Newest, false, s.heard)
+	for _, handed := range s.Handed {
+		m.recordIncarnation(handed.Member, handed.Ceased, true, s.receivedAt)
+		m.recordIncarnation(handed.Member, handed.Newest, false, s.receivedAt)
 	}
-	next := saying{version: s.Version, incarnation: s.Incarnation, vouching: s.Vouching, asked: s.asked, heard: s.heard}
-	if known && old.version == next.version && old.incarnation == next.incarnation {
-		next.heard = old.heard
+	next := statementSummary{version: s.Version, incarnation: s.Incarnation, confirming: s.Vouching, askedAt: s.askedAt, receivedAt: s.receivedAt}
+	if known && previous.version == next.version && previous.incarnation == next.incarnation {
+		next.receivedAt = previous.receivedAt
 	}
-	m.said[s.From] = next
-	if at, ok := m.places[s.From]; ok {
-		m.seats[at].take(next)
+	m.statements[s.From] = next
+	if index, ok := m.indexes[s.From]; ok {
+		m.states[index].apply(next)
 	}
-	if !known || old.version != next.version || old.vouching != next.vouching || old.incarnation != next.incarnation {
-		m.touch(s.heard)
+	if !known || previous.version != next.version || previous.confirming != next.confirming || previous.incarnation != next.incarnation {
+		m.markChanged(s.receivedAt)
 	}
 }
 
-// merge takes over a flip that another member saw.
-func (m *Membership) merge(f Flip, now time.Time) {
-	own, known := m.flips[f.Member]
-	var reached time.Time
-	if f.Reached {
-		reached = now.Add(-f.Age)
+// mergeChange applies a change of the list that another member reports.
+func (m *Membership) mergeChange(flip Flip, now time.Time) {
+	own, known := m.changes[flip.Member]
+	var quorumSince time.Time
+	if flip.Reached {
+		quorumSince = now.Add(-flip.Age)
 	}
 	switch {
-	case known && f.Version < own.version:
+	case known && flip.Version < own.version:
 		return
-	case known && f.Version == own.version:
-		if f.Reached && (own.reached.IsZero() || reached.Before(own.reached)) {
-			own.reached = reached
-			m.flips[f.Member] = own
-			m.touch(now)
+	case known && flip.Version == own.version:
+		if flip.Reached && (own.quorumSince.IsZero() || quorumSince.Before(own.quorumSince)) {
+			own.quorumSince = quorumSince
+			m.changes[flip.Member] = own
+			m.markChanged(now)
 		}
-	case f.Reached && f.Age > m.limits.Fence:
+	case flip.Reached && flip.Age > m.limits.Fence:
 		return
-	case known && f.In == own.in && own.version >= m.gapless:
-		// The other skipped versions and dates the same flip too late.
+	case known && flip.In == own.added && own.version >= m.gaplessSince:
+		// The other member skipped versions and gives the same change too late a version.
 		return
 	default:
-		m.flips[f.Member] = flip{in: f.In, version: f.Version, reached: reached}
-		m.touch(now)
-		m.foreign[f.Member] = m.generation
-		if f.Member == m.self {
+		m.changes[flip.Member] = listChange{added: flip.In, version: flip.Version, quorumSince: quorumSince}
+		m.markChanged(now)
+		m.learned[flip.Member] = m.generation
+		if flip.Member == m.self {
 			m.lapses++
 		}
 	}
 }
 
-// noteDirect takes what a member says of itself. If it speaks with an older
-// incarnation than the one that let go, its clock stepped back at a restart:
-// that word is void, since it would free what the process after it holds.
-func (m *Membership) noteDirect(s Statement, now time.Time) {
-	if s.Incarnation < m.newest[s.From] && m.handed[s.From].incarnation == m.newest[s.From] {
-		m.newest[s.From]++
+// recordSender applies what a member states about itself. If its incarnation is older
+// than the one that gave up its shards, its clock stepped back at a restart: the
+// cessation is void, since it would release what the later process holds.
+func (m *Membership) recordSender(s Statement, now time.Time) {
+	if s.Incarnation < m.newestIncarnation[s.From] && m.cessations[s.From].incarnation == m.newestIncarnation[s.From] {
+		m.newestIncarnation[s.From]++
 	}
-	m.note(s.From, s.Incarnation, s.Ceased, now)
+	m.recordIncarnation(s.From, s.Incarnation, s.Ceased, now)
 }
 
-// note remembers the newest incarnation of a member, and the newest that let go of its shards.
-func (m *Membership) note(e Member, incarnation uint64, ceased bool, now time.Time) {
-	m.newest[e] = max(m.newest[e], incarnation)
-	if ceased && incarnation > m.handed[e].incarnation {
-		m.handed[e] = handedAt{incarnation: incarnation, heard: now}
-		m.touch(now)
+// recordIncarnation updates the newest incarnation of a member, and the newest that gave up its shards.
+func (m *Membership) recordIncarnation(member Member, incarnation uint64, ceased bool, now time.Time) {
+	m.newestIncarnation[member] = max(m.newestIncarnation[member], incarnation)
+	if ceased && incarnation > m.cessations[member].incarnation {
+		m.cessations[member] = cessation{incarnation: incarnation, receivedAt: now}
+		m.markChanged(now)
 	}
 }
 
-// hasCeased reports whether the newest known process of a member gave up its shards, and when that was heard.
-func (m *Membership) hasCeased(e Member) (time.Time, bool) {
-	h, ok := m.handed[e]
-	return h.heard, ok && h.incarnation == m.newest[e]
+// ceasedAt returns when the newest known incarnation of a member stated that it gave up its shards, or false if it has not.
+func (m *Membership) ceasedAt(member Member) (time.Time, bool) {
+	ceased, ok := m.cessations[member]
+	return ceased.receivedAt, ok && ceased.incarnation == m.newestIncarnation[member]
 }
 
-func (m *Membership) touch(now time.Time) {
+// markChanged records that something was learned that can move shards.
+func (m *Membership) markChanged(now time.Time) {
 	m.generation++
-	if now.After(m.changed) {
-		m.changed = now
+	if now.After(m.changedAt) {
+		m.changedAt = now
 	}
 }
 
-// checkLapse notes that the tenure ran out: what was held until then may belong to others now.
-func (m *Membership) checkLapse(now time.Time) {
-	if !m.until.IsZero() && !now.Before(m.until) {
-		m.until = time.Time{}
+// expireTenure checks whether the tenure has ended: shards that were held until then may belong to others now.
+func (m *Membership) expireTenure(now time.Time) {
+	if !m.tenureEnd.IsZero() && !now.Before(m.tenureEnd) {
+		m.tenureEnd = time.Time{}
 		m.lapses++
-		m.touch(now)
+		m.markChanged(now)
 	}
 }
 
 // MayLend reports whether this process may act as a home now.
 func (m *Membership) MayLend(now time.Time) bool {
-	m.checkLapse(now)
-	return m.vouching && !m.ceased && m.listed[m.self] && now.Before(m.until) &&
-		now.Sub(m.started) >= m.limits.lent()
+	m.expireTenure(now)
+	return m.confirming && !m.ceased && m.listed[m.self] && now.Before(m.tenureEnd) &&
+		now.Sub(m.startedAt) >= m.limits.lenderLoan()
 }
--- a/internal/fleet/rate/plans.go
+++ b/internal/fleet/rate/plans.go
@@ -7,10 +7,10 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// plans are the organisations' rates and bursts in the order of their names.
+// plans are the organisations' rates and bursts, sorted by organisation.
 //
-// Every daemon has all of them twice, as home and as borrower, and traffic for a few. In a map they take two to three
-// times as much memory; one that has traffic has its plan in its purse or bucket, so most calls don't search here.
+// Every daemon keeps all of them twice, as home and as borrower, and has traffic for a few. A map takes two to three times
+// as much memory. An organisation with traffic has its plan in its token cache or bucket, so most calls don't search here.
 type plans []lists.Organisation
 
 func newPlans(organisations []lists.Organisation) plans {
@@ -20,11 +20,11 @@
 }
 
 func (p plans) find(name string) (lists.Organisation, bool) {
-	at, ok := slices.BinarySearchFunc(p, name, func(o lists.Organisation, name string) int {
+	index, ok := slices.BinarySearchFunc(p, name, func(o lists.Organisation, name string) int {
 		return strings.Compare(o.Organisation, name)
 	})
 	if !ok {
 		return lists.Organisation{}, false
 	}
-	return p[at], true
+	return p[index], true
 }
--- a/internal/fleet/rate/plans_test.go
+++ b/internal/fleet/rate/plans_test.go
@@ -11,9 +11,9 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-func TestPlanThatComesLater(t *testing.T) {
-	// Operators list an organisation while the fleet runs, or take it off and list it again. Had its bucket
-	// filled since the home began, it would get its whole burst again each time that it is listed.
+func TestPlanListedLater(t *testing.T) {
+	// Operators list an organisation while the fleet runs, or remove it and list it again. If its bucket were
+	// filled for the time since the home started, it would get its whole burst each time that it is listed.
 	first := lists.Organisation{Organisation: "a", Plan: "p", Rate: 1, Burst: 100}
 	own := lists.Organisation{Organisation: "o", Plan: "p", Rate: 1, Burst: 100}
 	cases := []struct {
@@ -21,10 +21,10 @@
 		plans    [][]lists.Organisation
 		admitted int
 	}{
-		{"there from the start", [][]lists.Organisation{{own, first}, {own, first}}, 58},
+		{"listed from the start", [][]lists.Organisation{{own, first}, {own, first}}, 58},
 		{"listed after a minute", [][]lists.Organisation{{first}, {own, first}}, 0},
-		{"taken off for a minute", [][]lists.Organisation{{own, first}, {first}, {first, own}}, 0},
-		{"taken off", [][]lists.Organisation{{own, first}, {first}}, 0},
+		{"removed for a minute", [][]lists.Organisation{{own, first}, {first}, {first, own}}, 0},
+		{"removed", [][]lists.Organisation{{own, first}, {first}}, 0},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
@@ -35,10 +35,10 @@
 				home.SetPlans(plans, now)
 				borrower.SetPlans(plans)
 			}
-			So(drain(home, borrower, rates.NewChecker([]lists.Organisation{own}, now), now), ShouldEqual, c.admitted)
+			So(spendAll(home, borrower, rates.NewChecker([]lists.Organisation{own}, now), now), ShouldEqual, c.admitted)
 		})
 	}
-	Convey("an organisation that is taken off is refused at once", t, func() {
+	Convey("an organisation that is removed is refused at once", t, func() {
 		borrower := startBorrower([]lists.Organisation{own}, 1)
 		_, outcome, _ := borrower.Spend("o", rates.Start)
 		So(outcome, ShouldEqual, rate.Dry)
--- a/internal/fleet/rate/prefetch.go
+++ b/internal/fleet/rate/prefetch.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// TickEvery is how often a borrower looks whether it should ask ahead of need.
+// TickEvery is how often a borrower checks whether to ask for stock.
 const TickEvery = 50 * time.Millisecond
 
-// forgetPurse is how long a purse without tokens and callers is kept.
-const forgetPurse = 20 * time.Second
+// cacheTTL is how long the state of an organisation without requests is kept.
+const cacheTTL = 20 * time.Second
 
-// returnFactor times the target is what a purse may hold before it gives tokens back.
+// returnFactor times the target is what an organisation's tokens may reach before the surplus is returned.
 const returnFactor = 3
 
-// perHome is how many tokens are asked of one home at a time before others are asked as well.
-const perHome = 8 * perToken
+// partsPerHome is how much one home is asked for at a time before further homes are asked as well.
+const partsPerHome = 8 * partsPerToken
 
-// Tick returns the questions to ask ahead of need: for more tokens where
-// callers arrive, to keep loans from running out, and to give back what callers
-// don't need, so that daemons where they come next find it at its home.
+// Tick returns the lease requests that are due although no caller's request waits: for more tokens
+// where requests arrive, to renew loans before they expire, to report spent tokens, and to return
+// surplus tokens, so that daemons at which the next requests arrive find them at their homes.
 func (b *Borrower) Tick(now time.Time) []Ask {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	elapsed := now.Sub(b.ticked)
-	b.ticked = now
+	elapsed := now.Sub(b.tickedAt)
+	b.tickedAt = now
 	items := map[Member][]LeaseItem{}
 	var order []Member
-	for name, p := range b.purses {
-		if now.Sub(p.used) > forgetPurse {
-			delete(b.purses, name)
+	for name, c := range b.caches {
+		if now.Sub(c.usedAt) > cacheTTL {
+			delete(b.caches, name)
 			continue
 		}
-		p.find(b.version, &b.roster, b.limits.Shards, b.start)
-		p.tick(elapsed)
-		p.close(now, b.limits.Loan)
-		for home, item := range b.wishes(p, now) {
+		c.findHomes(b.version, &b.roster, b.limits.Shards, b.homeOffset)
+		c.updateRates(elapsed)
+		c.dropExpired(now, b.limits.Loan)
+		for home, item := range b.dueItems(c, now) {
 			if len(items[home]) == 0 {
 				order = append(order, home)
 			}
@@ -45,73 +45,73 @@
 	}
 	asks := make([]Ask, 0, len(order))
 	for _, home := range order {
-		asks = append(asks, b.ask(home, items[home]...))
+		asks = append(asks, b.newAsk(home, items[home]...))
 	}
 	return asks
 }
 
-// wishes returns what to ask of each home for one organisation.
-func (b *Borrower) wishes(p *purse, now time.Time) map[Member]LeaseItem {
-	out := map[Member]LeaseItem{}
-	target, left := p.target(), p.left(now)
+// dueItems returns what to ask of each home for one organisation.
+func (b *Borrower) dueItems(c *tokenCache, now time.Time) map[Member]LeaseItem {
+	items := map[Member]LeaseItem{}
+	target, available := c.stockTarget(), c.available(now)
 	switch {
-	case left > 0 && left < perToken && now.Sub(p.gathered) >= TickEvery:
-		b.giveBack(p, left, out, now)
-	case left <= target/2 && left < target && !now.Before(p.dryUntil) && !now.Before(p.aheadFrom):
-		b.more(p, target-left, out, now)
-	case left > returnFactor*target:
-		b.giveBack(p, left-target, out, now)
+	case available > 0 && available < partsPerToken && now.Sub(c.gatheredAt) >= TickEvery:
+		b.returnSurplus(c, available, items, now)
+	case available <= target/2 && available < target && !now.Before(c.emptyUntil) && !now.Before(c.prefetchFrom):
+		b.prefetch(c, target-available, items, now)
+	case available > returnFactor*target:
+		b.returnSurplus(c, available-target, items, now)
 	}
-	for home, a := range p.accounts {
-		renew := a.left(now) > 0 && a.expires.Sub(now) < b.limits.Loan/2
-		tell := a.spent > a.told && now.Sub(a.untold) >= p.tellAfter()
-		if _, asked := out[home]; !asked && (renew || tell) && now.Before(a.expires) {
-			out[home] = b.item(p, a, 0, Ahead)
+	for home, a := range c.accounts {
+		renew := a.available(now) > 0 && a.expires.Sub(now) < b.limits.Loan/2
+		report := a.spent > a.reported && now.Sub(a.unreportedSince) >= c.reportDelay()
+		if _, included := items[home]; !included && (renew || report) && now.Before(a.expires) {
+			items[home] = b.newItem(c, a, 0, Ahead)
 		}
 	}
-	return out
+	return items
 }
 
-// more asks as many homes as the missing tokens are worth: the process's own, which costs no
-// message, then those that had some.
-func (b *Borrower) more(p *purse, missing Parts, out map[Member]LeaseItem, now time.Time) {
-	need := 1 + int(missing/perHome)
-	each := whole(int(math.Ceil(missing.tokens() / float64(need))))
-	for _, home := range b.order(p) {
-		if len(out) == need {
+// prefetch asks as many homes as the missing tokens are worth: first the one in this process, which costs no
+// message, then the others, starting with the last one that had tokens.
+func (b *Borrower) prefetch(c *tokenCache, missing Parts, items map[Member]LeaseItem, now time.Time) {
+	homeCount := 1 + int(missing/partsPerHome)
+	each := partsOf(int(math.Ceil(missing.tokens() / float64(homeCount))))
+	for _, home := range b.homeOrder(c) {
+		if len(items) == homeCount {
 			return
 		}
-		a := b.account(p, home, now)
-		if now.Before(a.slow) || now.Before(a.restUntil) {
+		a := b.account(c, home, now)
+		if now.Before(a.slowUntil) || now.Before(a.noPrefetchUntil) {
 			continue
 		}
-		out[home] = b.item(p, a, each, Ahead)
+		items[home] = b.newItem(c, a, each, Ahead)
 	}
 }
 
-// order returns the homes in the order in which they are asked.
-func (b *Borrower) order(p *purse) []Member {
-	out := make([]Member, 0, len(p.homes))
-	if slices.Contains(p.homes, b.own) {
-		out = append(out, b.own)
+// homeOrder returns the homes in the order in which they are asked.
+func (b *Borrower) homeOrder(c *tokenCache) []Member {
+	homes := make([]Member, 0, len(c.homes))
+	if slices.Contains(c.homes, b.ownHome) {
+		homes = append(homes, b.ownHome)
 	}
-	for i := range p.homes {
-		if home := p.homes[(p.cursor+i)%len(p.homes)]; home != b.own {
-			out = append(out, home)
+	for i := range c.homes {
+		if home := c.homes[(c.cursor+i)%len(c.homes)]; home != b.ownHome {
+			homes = append(homes, home)
 		}
 	}
-	return out
+	return homes
 }
 
-// giveBack stops spending first and tells the home after that; if the message is lost, the tokens are.
-func (b *Borrower) giveBack(p *purse, surplus Parts, out map[Member]LeaseItem, now time.Time) {
-	for home, a := range p.accounts {
-		n := min(a.left(now), surplus)
-		if n <= 0 {
+// returnSurplus stops spending the tokens before it reports them to the home; if the message is lost, they are lost too.
+func (b *Borrower) returnSurplus(c *tokenCache, surplus Parts, items map[Member]LeaseItem, now time.Time) {
+	for home, a := range c.accounts {
+		amount := min(a.available(now), surplus)
+		if amount <= 0 {
 			continue
 		}
-		a.returned += n
-		surplus -= n
-		out[home] = b.item(p, a, 0, Ahead)
+		a.returned += amount
+		surplus -= amount
+		items[home] = b.newItem(c, a, 0, Ahead)
 	}
 }
--- a/internal/fleet/rate/purse.go
+++ b/internal/fleet/rate/purse.go
@@ -7,155 +7,160 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// purse is what a borrower holds of one organisation.
-type purse struct {
-	plan     lists.Organisation
+// tokenCache is a borrower's state for one organisation: its accounts at homes and its demand.
+type tokenCache struct {
+	plan lists.Organisation
+	// version is that of the host list for which homes was computed, 0 to recompute it.
 	version  uint64
 	homes    []Member
 	accounts map[Member]*account
-	cursor   int
+	// cursor is the index, modulo their number, of the home to ask first after the one in this process.
+	cursor int
 
-	// arrivals are counted since the last tick; demand is their smoothed rate in calls/s.
+	// arrivals are counted since the last tick; demand is their smoothed rate in requests/s.
 	arrivals int
 	demand   float64
-	// spends are those since the last tick, pace is their smoothed rate in calls/s.
-	spends   int
-	pace     float64
-	back     *comeback.Schedule
-	used     time.Time
-	dryUntil time.Time
-	// gathered is when fractions were last asked for.
-	gathered time.Time
-	dries    int
-	// aheadFrom is when to ask ahead of need again after a home had nothing to spare.
-	aheadFrom time.Time
+	// spends are the tokens spent since the last tick; admitRate is their smoothed rate in requests/s.
+	spends        int
+	admitRate     float64
+	retrySchedule *comeback.Schedule
+	usedAt        time.Time
+	// emptyUntil is when homes may be asked again after they had no token, emptyCount how often in a row they had none.
+	emptyUntil time.Time
+	// gatheredAt is when fractions were last requested.
+	gatheredAt time.Time
+	emptyCount int
+	// prefetchFrom is when to ask for stock again after a home had nothing to spare.
+	prefetchFrom time.Time
 }
 
-// account is what one home lent. Spent, returned and granted are totals.
+// account is what one home lent. id is the borrower's identifier of the account, birth the home's, seq the number
+// of its last lease request; granted, spent and returned are totals.
 type account struct {
-	id       uint64
-	birth    uint64
-	seq      uint64
-	home     uint64
-	granted  Parts
-	spent    Parts
-	told     Parts
+	id              uint64
+	birth           uint64
+	seq             uint64
+	homeIncarnation uint64
+	granted         Parts
+	spent           Parts
+	// reported is the part of spent that the home has been sent.
+	reported Parts
 	returned Parts
 	expires  time.Time
-	opened   time.Time
-	slow     time.Time
-	// untold is when the first token was spent that the home was not told of.
-	untold time.Time
-	// wanted is what the last question asked for ahead of need; restUntil is when to ask so again, after it brought nothing.
-	wanted    Parts
-	restUntil time.Time
+	openedAt time.Time
+	// slowUntil is until when the home is not asked, since it did not reply in time.
+	slowUntil time.Time
+	// unreportedSince is when the first token was spent that is not yet reported to the home.
+	unreportedSince time.Time
+	// prefetchWanted is what the last request asked for as stock; noPrefetchUntil is when to ask so again, after it was granted nothing.
+	prefetchWanted  Parts
+	noPrefetchUntil time.Time
 }
 
-func (a *account) left(now time.Time) Parts {
+func (a *account) available(now time.Time) Parts {
 	if !now.Before(a.expires) {
 		return 0
 	}
 	return a.granted - a.spent - a.returned
 }
 
-// Times and shares of a purse.
 const (
-	// demandTime smooths arrivals: long enough that a caller with one request in some seconds finds a token in stock.
-	demandTime = 4 * time.Second
-	// slowTime is how long a home that did not answer is passed over.
-	slowTime = 100 * time.Millisecond
-	// leastDry and mostDry bound the time during which a dry purse refuses without
-	// asking: a flood of an organisation over its rate must not become a flood of
-	// questions, and a token that another borrower gives back must be found soon.
-	leastDry = 20 * time.Millisecond
-	mostDry  = 500 * time.Millisecond
-	// mostDries is how often leastDry is doubled at most, up to mostDry.
-	mostDries = 5
+	// demandTimeConstant smooths arrivals: long enough that a caller with one request in several seconds finds a token in stock.
+	demandTimeConstant = 4 * time.Second
+	// slowHomePause is how long a home that did not reply is not asked.
+	slowHomePause = 100 * time.Millisecond
+	// minEmptyTime and maxEmptyTime bound the time during which a borrower without tokens refuses without
+	// asking homes: the excess requests of an organisation above its rate must not become as many
+	// lease requests, and a token that another borrower returns must be found soon.
+	minEmptyTime = 20 * time.Millisecond
+	maxEmptyTime = 500 * time.Millisecond
+	// maxEmptyDoublings is how often minEmptyTime is doubled at most, up to maxEmptyTime.
+	maxEmptyDoublings = 5
 )
 
-func (p *purse) arrive(now time.Time) {
-	p.arrivals++
-	p.used = now
+func (c *tokenCache) recordArrival(now time.Time) {
+	c.arrivals++
+	c.usedAt = now
 }
 
-// spend takes a token, from one home's account if it can.
-func (p *purse) spend(now time.Time) (Token, bool) {
-	for _, a := range p.accounts {
-		if a.left(now) >= perToken {
-			a.spend(perToken, now)
-			p.admitted()
+// spend takes a token, if possible from one home's account.
+func (c *tokenCache) spend(now time.Time) (Token, bool) {
+	for _, a := range c.accounts {
+		if a.available(now) >= partsPerToken {
+			a.spend(partsPerToken, now)
+			c.recordSpend()
 			return Token{account: a, seq: a.seq}, true
 		}
 	}
-	if p.left(now) < perToken {
+	if c.available(now) < partsPerToken {
 		return Token{}, false
 	}
-	p.admitted()
-	missing := perToken
-	for _, a := range p.accounts {
-		missing -= a.spend(min(missing, a.left(now)), now)
+	c.recordSpend()
+	missing := partsPerToken
+	for _, a := range c.accounts {
+		missing -= a.spend(min(missing, a.available(now)), now)
 	}
 	return Token{}, true
 }
 
-// admitted counts a request that got its token.
-func (p *purse) admitted() {
-	p.dries = 0
-	p.spends++
+// recordSpend counts a request that got its token.
+func (c *tokenCache) recordSpend() {
+	c.emptyCount = 0
+	c.spends++
 }
 
-func (a *account) spend(n Parts, now time.Time) Parts {
-	if n > 0 && a.spent == a.told {
-		a.untold = now
+func (a *account) spend(amount Parts, now time.Time) Parts {
+	if amount > 0 && a.spent == a.reported {
+		a.unreportedSince = now
 	}
-	a.spent += n
-	return n
+	a.spent += amount
+	return amount
 }
 
-func (p *purse) left(now time.Time) Parts {
+func (c *tokenCache) available(now time.Time) Parts {
 	var sum Parts
-	for _, a := range p.accounts {
-		sum += a.left(now)
+	for _, a := range c.accounts {
+		sum += a.available(now)
 	}
 	return sum
 }
 
-// tick smooths demand and pace over the time since the last tick.
-func (p *purse) tick(elapsed time.Duration) {
+// updateRates smooths demand and admitRate over the time since the last tick.
+func (c *tokenCache) updateRates(elapsed time.Duration) {
 	if elapsed <= 0 {
 		return
 	}
 	seconds := elapsed.Seconds()
-	weight := min(seconds/demandTime.Seconds(), 1)
-	p.demand += (float64(p.arrivals)/seconds - p.demand) * weight
-	p.pace += (float64(p.spends)/seconds - p.pace) * weight
-	p.arrivals, p.spends = 0, 0
+	weight := min(seconds/demandTimeConstant.Seconds(), 1)
+	c.demand += (float64(c.arrivals)/seconds - c.demand) * weight
+	c.admitRate += (float64(c.spends)/seconds - c.admitRate) * weight
+	c.arrivals, c.spends = 0, 0
 }
 
-// find works out the homes of the organisation's shards, once for each version of the hosts list.
-// Borrowers start at different homes, or the home of the first shard would have all their questions.
-func (p *purse) find(version uint64, r *roster, shards int, start uint64) {
-	if p.version == version {
+// findHomes determines the homes of the organisation's shards, once for each version of the host list.
+// Borrowers start at different homes; otherwise the home of the first shard would get all their lease requests.
+func (c *tokenCache) findHomes(version uint64, r *roster, shards int, offset uint64) {
+	if c.version == version {
 		return
 	}
-	p.version = version
-	p.homes = p.homes[:0]
+	c.version = version
+	c.homes = c.homes[:0]
 	seen := map[Member]bool{}
-	for shard := range min(shards, p.plan.Burst) {
-		home, ok := r.home(shardKey(p.plan.Organisation, shard))
+	for shard := range min(shards, c.plan.Burst) {
+		home, ok := r.home(shardKey(c.plan.Organisation, shard))
 		if ok && !seen[home] {
 			seen[home] = true
-			p.homes = append(p.homes, home)
+			c.homes = append(c.homes, home)
 		}
 	}
-	p.cursor = int(start % uint64(max(len(p.homes), 1)))
+	c.cursor = int(offset % uint64(max(len(c.homes), 1)))
 }
 
-// close drops accounts that ran out; their tokens are the home's loss.
-func (p *purse) close(now time.Time, loan time.Duration) {
-	for home, a := range p.accounts {
-		if !now.Before(a.expires) && now.Sub(a.opened) >= loan && !now.Before(a.slow) && !now.Before(a.restUntil) {
-			delete(p.accounts, home)
+// dropExpired drops expired accounts; the home counts their tokens as spent.
+func (c *tokenCache) dropExpired(now time.Time, loan time.Duration) {
+	for home, a := range c.accounts {
+		if !now.Before(a.expires) && now.Sub(a.openedAt) >= loan && !now.Before(a.slowUntil) && !now.Before(a.noPrefetchUntil) {
+			delete(c.accounts, home)
 		}
 	}
 }
--- a/internal/fleet/rate/restart_test.go
+++ b/internal/fleet/rate/restart_test.go
@@ -14,26 +14,26 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-var only = rate.Member{Host: "only", Peer: netip.MustParseAddrPort("127.0.0.1:7001")}
+var soleMember = rate.Member{Host: "only", Peer: netip.MustParseAddrPort("127.0.0.1:7001")}
 
 func startHome(plans []lists.Organisation, incarnation uint64, now time.Time) *rate.Home {
-	h := rate.NewHome(only, incarnation, rate.DefaultLimits(), now)
+	h := rate.NewHome(soleMember, incarnation, rate.DefaultLimits(), now)
 	h.SetPlans(plans, now)
-	h.SetList(1, []rate.Member{only}, now)
+	h.SetList(1, []rate.Member{soleMember}, now)
 	return h
 }
 
 func startBorrower(plans []lists.Organisation, incarnation uint64) *rate.Borrower {
 	b := rate.NewBorrower("only", incarnation, rate.DefaultLimits())
 	b.SetPlans(plans)
-	b.SetList(1, []rate.Member{only})
+	b.SetList(1, []rate.Member{soleMember})
 	return b
 }
 
-// drain spends all that a home lends at one moment.
-func drain(h *rate.Home, b *rate.Borrower, c *rates.Checker, now time.Time) (admitted int) {
-	const many = 1000
-	if ask, ok := b.Urgent("o", only, many, rate.Waiting, now); ok {
+// spendAll spends all tokens that a home lends at one moment and returns their number.
+func spendAll(h *rate.Home, b *rate.Borrower, c *rates.Checker, now time.Time) (admitted int) {
+	const waiting = 1000
+	if ask, ok := b.Urgent("o", soleMember, waiting, rate.Waiting, now); ok {
 		b.Hear(ask.Home, h.AnswerLease(ask.Message, now), now, now)
 	}
 	for {
@@ -45,15 +45,15 @@
 	}
 }
 
-// A daemon is killed right after its organisation spent its burst, and starts again
-// on the same address. With a full bucket it would give the burst twice.
+// A daemon is killed right after an organisation has spent its burst, and restarts
+// at the same address. With a full bucket it would grant the burst twice.
 func TestRestartStartsEmpty(t *testing.T) {
 	plans := []lists.Organisation{{Organisation: "o", Plan: "p", Rate: 1, Burst: 100}}
 	cases := []struct {
 		name string
 		full bool
 	}{
-		{"as it is", false},
+		{"with an empty bucket", false},
 		{"with a full bucket", true},
 	}
 	for _, c := range cases {
@@ -62,15 +62,15 @@
 			check := rates.NewChecker(plans, now)
 			first := startHome(plans, 1, now)
 			now = now.Add(3 * time.Minute)
-			So(drain(first, startBorrower(plans, 1), check, now), ShouldEqual, 100)
+			So(spendAll(first, startBorrower(plans, 1), check, now), ShouldEqual, 100)
 			second := startHome(plans, 2, now)
 			b := startBorrower(plans, 2)
-			So(drain(second, b, check, now), ShouldEqual, 0)
+			So(spendAll(second, b, check, now), ShouldEqual, 0)
 			now = now.Add(3 * time.Second)
-			drain(second, b, check, now)
+			spendAll(second, b, check, now)
 			if c.full {
-				second.FillAll()
-				drain(second, b, check, now)
+				second.FillBuckets()
+				spendAll(second, b, check, now)
 			}
 			So(check.Excess > 0, ShouldEqual, c.full)
 		})
@@ -96,7 +96,7 @@
 			home, borrower := startHome(plans, 1, now), startBorrower(plans, 1)
 			now = now.Add(10 * time.Second)
 			for _, o := range plans {
-				ask, _ := borrower.Urgent(o.Organisation, only, 900, rate.Waiting, now)
+				ask, _ := borrower.Urgent(o.Organisation, soleMember, 900, rate.Waiting, now)
 				borrower.Hear(ask.Home, home.AnswerLease(ask.Message, now), now, now)
 			}
 			runtime.GC()
--- a/internal/fleet/rate/review.go
+++ b/internal/fleet/rate/review.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// review works out what the statements heard so far allow.
+// review determines what the statements received so far allow.
 func (m *Membership) review(now time.Time) {
-	m.reviewVouching(now)
+	m.reviewConfirming(now)
 	m.reviewAgreement(now)
 	m.reviewTenure(now)
-	m.reviewFlips(now)
+	m.reviewChanges(now)
 }
 
-// reviewVouching lets a process that lost its memory speak for membership
-// again. Until then it would confirm, from a stale list, what it had
-// denied before its restart. It has to have heard from a quorum of others
-// that did not forget, or from every other member when all have just started.
-func (m *Membership) reviewVouching(now time.Time) {
-	if m.vouching || m.version == 0 {
+// reviewConfirming lets a restarted process confirm lists again. Until then it
+// would confirm, from a stale list, what it had denied before its restart. It
+// must have received statements from a quorum of others that are confirming, or
+// from every other member when all have just started.
+func (m *Membership) reviewConfirming(now time.Time) {
+	if m.confirming || m.version == 0 {
 		return
 	}
-	vouchers, answers, own := 0, 0, m.own()
-	for i := range m.seats {
-		s := &m.seats[i]
-		if i == own || !s.known {
+	confirmingCount, knownCount, ownIndex := 0, 0, m.ownIndex()
+	for i := range m.states {
+		s := &m.states[i]
+		if i == ownIndex || !s.known {
 			continue
 		}
-		answers++
-		if s.vouching {
-			vouchers++
+		knownCount++
+		if s.confirming {
+			confirmingCount++
 		}
 	}
 	others := len(m.roster.members)
 	if m.listed[m.self] {
 		others--
 	}
-	if vouchers >= m.quorum(len(m.roster.members)) || answers == others {
-		m.vouching = true
-		m.touch(now)
+	if confirmingCount >= m.quorum(len(m.roster.members)) || knownCount == others {
+		m.confirming = true
+		m.markChanged(now)
 	}
 }
 
-// reviewAgreement notes that a quorum vouches for this version of the list.
+// reviewAgreement records that a quorum confirms this version of the list.
 func (m *Membership) reviewAgreement(now time.Time) {
-	if m.settled < m.version && m.agreed() {
-		m.settled, m.settledRoster, m.settledLapses = m.version, m.roster, m.lapses
-		m.touch(now)
+	if m.agreedVersion < m.version && m.quorumConfirms() {
+		m.agreedVersion, m.agreedRoster, m.agreedLapses = m.version, m.roster, m.lapses
+		m.markChanged(now)
 	}
 }
 
-// weighings is how often in a tenure the confirmations are gone through for its end. Sorting those of thousands of
-// members at each answer would take most of a home's time; the right ends by up to this part of a tenure earlier instead.
-const weighings = 100
+// reviewsPerTenure is how often in a tenure the confirmations are sorted to find its end. Sorting those of thousands of
+// members at each answer would take most of a home's time. Instead the right to lend ends earlier, by up to this fraction of a tenure.
+const reviewsPerTenure = 100
 
-// reviewTenure finds how long the quorum's newest confirmations last.
+// reviewTenure determines how long the quorum's newest confirmations last.
 func (m *Membership) reviewTenure(now time.Time) {
 	members := len(m.roster.members)
 	need := m.quorum(members) - 1
@@ -62,91 +62,91 @@
 		return
 	}
 	if need == 0 {
-		m.confirm(forever, now)
+		m.extendTenure(forever, now)
 		return
 	}
-	if m.until.Equal(forever) {
-		m.until = now.Add(m.limits.Tenure())
+	if m.tenureEnd.Equal(forever) {
+		m.tenureEnd = now.Add(m.limits.Tenure())
 	}
-	if !m.until.IsZero() && now.Sub(m.weighed) < m.limits.Tenure()/weighings {
+	if !m.tenureEnd.IsZero() && now.Sub(m.tenureReviewedAt) < m.limits.Tenure()/reviewsPerTenure {
 		return
 	}
-	times := m.confirmations()
+	times := m.confirmationTimes()
 	if len(times) < need {
 		return
 	}
 	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
-	m.confirm(times[need-1].Add(m.limits.Tenure()), now)
-	m.weighed = now
+	m.extendTenure(times[need-1].Add(m.limits.Tenure()), now)
+	m.tenureReviewedAt = now
 }
 
-// confirmations returns when the newest words of those who vouch were asked for.
-func (m *Membership) confirmations() []time.Time {
+// confirmationTimes returns when the newest statements of the confirming members were asked for.
+func (m *Membership) confirmationTimes() []time.Time {
 	var times []time.Time
-	own := m.own()
-	for i := range m.seats {
-		if s := &m.seats[i]; s.vouching && i != own {
-			times = append(times, s.said)
+	ownIndex := m.ownIndex()
+	for i := range m.states {
+		if s := &m.states[i]; s.confirming && i != ownIndex {
+			times = append(times, s.answeredAskAt)
 		}
 	}
 	return times
 }
 
-// confirm extends the right to act.
-func (m *Membership) confirm(until, now time.Time) {
-	if !until.After(m.until) || !until.After(now) {
+// extendTenure extends the right to act.
+func (m *Membership) extendTenure(end, now time.Time) {
+	if !end.After(m.tenureEnd) || !end.After(now) {
 		return
 	}
-	if m.until.IsZero() {
-		m.regained = now
+	if m.tenureEnd.IsZero() {
+		m.tenureStart = now
 	}
-	m.until = until
+	m.tenureEnd = end
 }
 
-// forever is the end of the tenure of a member that needs nobody's word but its own.
+// forever is the end of the tenure of a member that is a quorum by itself.
 var forever = time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// reviewFlips notes when a quorum was first known to hold each flip's version, and forgets flips older than any fence.
-func (m *Membership) reviewFlips(now time.Time) {
+// reviewChanges records when a quorum was first known to have each change's version, and drops changes older than any fence.
+func (m *Membership) reviewChanges(now time.Time) {
 	need := m.quorum(len(m.roster.members))
-	for e, f := range m.flips {
-		if f.reached.IsZero() && m.holding(f.version) >= need {
-			f.reached = now
-			m.flips[e] = f
-			m.touch(now)
+	for member, change := range m.changes {
+		if change.quorumSince.IsZero() && m.countHolding(change.version) >= need {
+			change.quorumSince = now
+			m.changes[member] = change
+			m.markChanged(now)
 		}
-		if m.old(f, now) && now.Sub(f.reached) > 2*m.limits.Fence {
-			delete(m.flips, e)
-			delete(m.foreign, e)
-			m.forget(e)
+		if m.fenceElapsed(change, now) && now.Sub(change.quorumSince) > 2*m.limits.Fence {
+			delete(m.changes, member)
+			delete(m.learned, member)
+			m.forget(member)
 		}
 	}
 }
 
-// forget drops what was heard from a member that left the list long ago.
-func (m *Membership) forget(e Member) {
-	if m.listed[e] {
+// forget drops the state of a member that left the list long ago.
+func (m *Membership) forget(member Member) {
+	if m.listed[member] {
 		return
 	}
-	delete(m.said, e)
-	delete(m.newest, e)
-	delete(m.handed, e)
-	delete(m.asking.unlisted, e)
-	delete(m.asking.missed, e)
+	delete(m.statements, member)
+	delete(m.newestIncarnation, member)
+	delete(m.cessations, member)
+	delete(m.schedule.unlistedAskedAt, member)
+	delete(m.schedule.silent, member)
 }
 
-// holding counts the members known to hold a version or a newer one.
-func (m *Membership) holding(version uint64) int {
-	count, own := 0, m.own()
-	for i := range m.seats {
-		if i == own || m.seats[i].holds(version) {
+// countHolding counts the members known to have a version or a newer one.
+func (m *Membership) countHolding(version uint64) int {
+	count, ownIndex := 0, m.ownIndex()
+	for i := range m.states {
+		if i == ownIndex || m.states[i].holds(version) {
 			count++
 		}
 	}
 	return count
 }
 
-// old reports whether a quorum has known the flip for the whole fence, so that no home acts on a list before it.
-func (m *Membership) old(f flip, now time.Time) bool {
-	return !f.reached.IsZero() && now.Sub(f.reached) >= m.limits.Fence
+// fenceElapsed reports whether a quorum has known the change for the whole fence, so that no home acts on a list from before it.
+func (m *Membership) fenceElapsed(change listChange, now time.Time) bool {
+	return !change.quorumSince.IsZero() && now.Sub(change.quorumSince) >= m.limits.Fence
 }
--- a/internal/fleet/rate/seat.go
+++ b/internal/fleet/rate/seat.go
@@ -2,59 +2,63 @@
 
 import "time"
 
-// seat is what counts of one listed member.
+// memberState is the state of one listed member that decisions depend on.
 //
-// Each answer, and each look for the next to ask, goes through all members. Looked up in a map by their names
-// that took 182 µs for both at 1,000 members and 772 µs at 3,400; by seats it takes 7 and 58 µs (BenchmarkAnswer).
-type seat struct {
-	known    bool
-	vouching bool
-	version  uint64
-	// ahead is the version that the member has beyond the own list, 0 if none.
-	ahead uint64
-	// said is when the newest statement was asked for, asked when any question last went out.
-	said  time.Time
-	asked time.Time
+// Each reply, and each search for the member to ask next, goes through all members. With
+// thousands of members, lookups by name in maps took most of that time, so the states are
+// kept in a slice (BenchmarkAnswer).
+type memberState struct {
+	// known means that the member has sent a statement.
+	known      bool
+	confirming bool
+	version    uint64
+	// pendingVersion is the member's version if it is newer than the own list, else 0.
+	pendingVersion uint64
+	// answeredAskAt is when the newest statement was asked for, askedAt when the member was last asked at all.
+	answeredAskAt time.Time
+	askedAt       time.Time
 }
 
-// unanswered reports whether the last question has had no answer so far.
-func (s *seat) unanswered() bool { return s.said.Before(s.asked) }
+// unanswered reports whether the last request has had no answer so far.
+func (s *memberState) unanswered() bool { return s.answeredAskAt.Before(s.askedAt) }
 
-func (s *seat) take(what saying) {
-	s.known, s.vouching, s.version, s.said = true, what.vouching, what.version, what.asked
+func (s *memberState) apply(summary statementSummary) {
+	s.known, s.confirming, s.version, s.answeredAskAt = true, summary.confirming, summary.version, summary.askedAt
 }
 
 // holds reports whether the member is known to have this version or a newer one.
-func (s *seat) holds(version uint64) bool { return s.version >= version || s.ahead >= version }
-
-// seatAll gives the members of a new list their seats.
-func (m *Membership) seatAll() {
-	before, places := m.seats, m.places
-	for e, at := range places {
-		if asked := before[at].asked; !asked.IsZero() {
-			m.asking.unlisted[e] = asked
+func (s *memberState) holds(version uint64) bool {
+	return s.version >= version || s.pendingVersion >= version
+}
+
+// rebuildStates sets up the states of the members of a new list.
+func (m *Membership) rebuildStates() {
+	previous, previousIndexes := m.states, m.indexes
+	for member, index := range previousIndexes {
+		if askedAt := previous[index].askedAt; !askedAt.IsZero() {
+			m.schedule.unlistedAskedAt[member] = askedAt
 		}
 	}
-	m.seats, m.places = make([]seat, len(m.roster.members)), make(map[Member]int32, len(m.roster.members))
-	for i, e := range m.roster.members {
-		m.places[e] = int32(i)
-		m.seat(e, &m.seats[i])
+	m.states, m.indexes = make([]memberState, len(m.roster.members)), make(map[Member]int32, len(m.roster.members))
+	for i, member := range m.roster.members {
+		m.indexes[member] = int32(i)
+		m.initState(member, &m.states[i])
 	}
 }
 
-func (m *Membership) seat(e Member, s *seat) {
-	if what, ok := m.said[e]; ok {
-		s.take(what)
+func (m *Membership) initState(member Member, s *memberState) {
+	if summary, ok := m.statements[member]; ok {
+		s.apply(summary)
 	}
-	s.ahead = m.ahead[e].Version
-	s.asked = m.asking.unlisted[e]
-	delete(m.asking.unlisted, e)
+	s.pendingVersion = m.pending[member].Version
+	s.askedAt = m.schedule.unlistedAskedAt[member]
+	delete(m.schedule.unlistedAskedAt, member)
 }
 
-// own returns this process's seat, -1 if the list has none.
-func (m *Membership) own() int {
-	if at, ok := m.places[m.self]; ok {
-		return int(at)
+// ownIndex returns the position of this process in the list, -1 if it is not listed.
+func (m *Membership) ownIndex() int {
+	if index, ok := m.indexes[m.self]; ok {
+		return int(index)
 	}
 	return -1
 }
--- a/internal/fleet/rate/stock.go
+++ b/internal/fleet/rate/stock.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// How much a daemon holds ahead of need, and when it tells what it spent.
+// How many tokens a daemon keeps in stock, and when it reports spent ones.
 //
-// The load is many daemons at which callers of one organisation come in now
-// and then. If each holds a token for them, a small burst lies in stock at daemons
-// whose callers don't come, and a caller elsewhere is refused inside its rate; and
-// loans that nobody spends are renewed again and again.
+// Designed for many daemons that each receive a request of one organisation now and then. If
+// each held a token in stock, a small burst would lie unused at daemons without requests, while
+// another daemon refuses requests within the organisation's rate; and unspent loans would be
+// renewed over and over.
 const (
-	// leastDemand in calls/s is where a daemon begins to hold tokens: below it a loan
-	// would be renewed more often than spent, and a question of a millisecond or two costs less.
-	leastDemand = 1.0
-	// mostStock is the time for which demand is held at most, half of a default loan, so that a token is spent before it must be renewed.
-	mostStock = 500 * time.Millisecond
-	// stockShare of a burst is held at most by all daemons together at full rate, but for rounding up.
-	stockShare = 0.25
-	// leastStock lets one call be served while the question for the next token is on its way.
-	leastStock = 2
-	// tellShare of a burst is believed out at most, at full rate, because it was not told yet that it is spent.
-	tellShare = 0.125
-	// aheadPause is how long nothing is asked ahead of need after a home had nothing to spare, and
-	// restTime how long that home is not asked so: without them a daemon that gets nothing asks at every tick.
-	aheadPause = 100 * time.Millisecond
-	restTime   = 500 * time.Millisecond
+	// minStockDemand is the arrival rate, in requests/s, from which a daemon keeps tokens in stock. Below it a
+	// loan would be renewed more often than spent, and asking for a token takes only a millisecond or two.
+	minStockDemand = 1.0
+	// maxStockTime is the time for which stock covers demand at most: half of a default loan, so that a token is spent before it must be renewed.
+	maxStockTime = 500 * time.Millisecond
+	// maxStockShare is the fraction of a burst that all daemons together keep in stock at full rate at most, apart from rounding up.
+	maxStockShare = 0.25
+	// minStock is in tokens. Two let one request be admitted while the next token is on its way.
+	minStock = 2
+	// maxUnreportedShare is the fraction of a burst that homes count as outstanding at full rate at most, because its spending is not yet reported.
+	maxUnreportedShare = 0.125
+	// prefetchPause is how long no home is asked for stock after one had nothing to spare, and homePrefetchPause
+	// how long that one is not: without them a daemon that is granted nothing asks at every tick.
+	prefetchPause     = 100 * time.Millisecond
+	homePrefetchPause = 500 * time.Millisecond
 )
 
-// target is how much to hold ahead of need.
-func (p *purse) target() Parts {
-	if p.demand < leastDemand {
+// stockTarget is how much to keep in stock for the present demand.
+func (c *tokenCache) stockTarget() Parts {
+	if c.demand < minStockDemand {
 		return 0
 	}
-	ahead := min(mostStock.Seconds(), p.filling(stockShare))
-	return whole(max(leastStock, int(math.Ceil(p.demand*ahead))))
+	seconds := min(maxStockTime.Seconds(), c.refillSeconds(maxStockShare))
+	return partsOf(max(minStock, int(math.Ceil(c.demand*seconds))))
 }
 
-// filling returns the seconds in which the rate brings a share of the burst.
-func (p *purse) filling(share float64) float64 {
-	if p.plan.Rate <= 0 {
+// refillSeconds returns the time in which the rate refills a share of the burst.
+func (c *tokenCache) refillSeconds(share float64) float64 {
+	if c.plan.Rate <= 0 {
 		return maxWait.Seconds()
 	}
-	return min(share*float64(p.plan.Burst)/p.plan.Rate, maxWait.Seconds())
+	return min(share*float64(c.plan.Burst)/c.plan.Rate, maxWait.Seconds())
 }
 
-// tellAfter is how long a spent token may go untold. A home believes it out until
-// then, and its bucket does not refill by as much; most are told with the next question.
-func (p *purse) tellAfter() time.Duration {
-	return time.Duration(p.filling(tellShare) * float64(time.Second))
+// reportDelay is how long a spent token may stay unreported. Until then its home counts it as
+// outstanding and its bucket refills by that much less; most are reported with the next lease request.
+func (c *tokenCache) reportDelay() time.Duration {
+	return time.Duration(c.refillSeconds(maxUnreportedShare) * float64(time.Second))
 }
--- a/internal/fleet/rate/token_test.go
+++ b/internal/fleet/rate/token_test.go
@@ -11,23 +11,23 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// A request has its token and is then refused by an overloaded service. If the token is
-// lost, a caller inside its rate is refused a second time for its rate; if it came
-// back after its home had counted it as spent, the organisation would get more than its burst.
+// A request takes a token and is then refused by an overloaded service. If the token were
+// lost, the organisation would be refused for its rate while within it; if it were given back
+// after its home has counted it as spent, the organisation would get more than its burst.
 func TestGiveBack(t *testing.T) {
 	plans := []lists.Organisation{{Organisation: "o", Plan: "p", Rate: 10, Burst: 10}}
 	cases := []struct {
-		name   string
-		told   bool
-		later  time.Duration
-		forced bool
-		back   bool
-		unsafe bool
+		name     string
+		reported bool
+		delay    time.Duration
+		forced   bool
+		returned bool
+		unsafe   bool
 	}{
-		{name: "at once", back: true},
-		{name: "after its home was told", told: true},
-		{name: "after its loan ran out", later: 2 * time.Second},
-		{name: "forced, after its home was told", told: true, forced: true, back: true, unsafe: true},
+		{name: "at once", returned: true},
+		{name: "after a lease request to its home", reported: true},
+		{name: "after its loan has expired", delay: 2 * time.Second},
+		{name: "forced, after a lease request to its home", reported: true, forced: true, returned: true, unsafe: true},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
@@ -35,26 +35,26 @@
 			check := rates.NewChecker(plans, now)
 			h, b := startHome(plans, 1, now), startBorrower(plans, 1)
 			now = now.Add(time.Minute)
-			ask, _ := b.Urgent("o", only, 1, rate.Waiting, now)
-			b.Hear(only, h.AnswerLease(ask.Message, now), now, now)
+			ask, _ := b.Urgent("o", soleMember, 1, rate.Waiting, now)
+			b.Hear(soleMember, h.AnswerLease(ask.Message, now), now, now)
 			token, ok := b.Take("o", now)
 			So(ok, ShouldBeTrue)
-			if c.told {
-				ask, _ := b.Urgent("o", only, 2, rate.Waiting, now)
-				b.Hear(only, h.AnswerLease(ask.Message, now), now, now)
+			if c.reported {
+				ask, _ := b.Urgent("o", soleMember, 2, rate.Waiting, now)
+				b.Hear(soleMember, h.AnswerLease(ask.Message, now), now, now)
 			}
-			now = now.Add(c.later)
+			now = now.Add(c.delay)
 			stock := b.Stock("o", now)
 			if c.forced {
 				b.ForceGiveBack(token)
 			} else {
-				So(b.GiveBack("o", token, now), ShouldEqual, c.back)
+				So(b.GiveBack("o", token, now), ShouldEqual, c.returned)
 			}
-			if c.back {
+			if c.returned {
 				So(b.Stock("o", now), ShouldEqual, stock+1)
 			}
 			now = now.Add(400 * time.Millisecond)
-			drain(h, b, check, now)
+			spendAll(h, b, check, now)
 			So(check.Excess > 0, ShouldEqual, c.unsafe)
 		})
 	}
