--- a/internal/fleet/member/doc.go
+++ b/internal/fleet/member/doc.go
@@ -1,7 +1,8 @@
-// Package member joins the platform's lagging list of hosts with what the
-// daemons see themselves: who says it is leaving, and who can't be reached.
+// Package member combines the configuration store's host list, which lags behind, with
+// what the daemons observe themselves: which hosts report that they are leaving, and
+// which can't be reached.
 //
-// A host that can't be reached is a suspect, which only placing goes by: it may
-// be alive on the other side of a partition and go on spending what it holds,
-// so nothing of a suspect is ever given to another.
+// A host that can't be reached is a suspect. Only the choice of a host for a request
+// depends on that: a suspect may be alive on the other side of a partition and go on
+// spending the tokens it holds, so nothing that a suspect holds is ever given to another.
 package member
--- a/internal/fleet/member/pace.go
+++ b/internal/fleet/member/pace.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// probePace bounds how many hosts with failures are tried.
+// probeLimiter bounds the rate of probes, which are attempts to reach hosts with failures.
 //
-// Made for regions that are apart for an hour, when one neighbour there after the other becomes a suspect, hundreds
-// in the end. Tried every probeEvery each, they would cost every daemon hundreds of connections a second, which one
-// notices as processor time without traffic. When a suspect answers again, others probably do too, and go on waiting
-// for work until they are tried; so the pace is higher for a while.
-type probePace struct {
-	allowed float64
-	at      time.Time
-	// hasty is how many more are tried at the higher pace.
-	hasty int
+// Designed for regions that are partitioned for an hour: one neighbour in the other region after the other becomes a
+// suspect, hundreds in the end. Probed every probeInterval each, they would cost every daemon hundreds of connections a
+// second, which shows as processor time without traffic. When a suspect answers again, others probably do too, and get
+// no work until they are probed; so the rate is higher for a while.
+type probeLimiter struct {
+	// allowed is the number of probes that may be sent at once, as in a token bucket, at the time updatedAt.
+	allowed   float64
+	updatedAt time.Time
+	// fastProbes is how many more probes are sent at the higher rate.
+	fastProbes int
 }
 
 const (
-	// probesPerSecond is the pace while none answers: up to 20 suspects are tried every probeEvery.
+	// probesPerSecond is the rate while no suspect answers: up to 20 suspects are probed every probeInterval.
 	probesPerSecond = 10
-	// hastyPerSecond tries a thousand suspects in ten seconds.
-	hastyPerSecond = 100
-	// hastyAfter is how many probes one answer hastens: one host that comes and goes keeps no high pace up.
-	hastyAfter = 20
+	// fastProbesPerSecond probes a thousand suspects in ten seconds.
+	fastProbesPerSecond = 100
+	// fastProbesPerAnswer is how many probes one answer speeds up; a bounded number, so that one host that is reachable now and then doesn't keep the rate high.
+	fastProbesPerAnswer = 20
 )
 
-func (p *probePace) hasten() { p.hasty = hastyAfter }
+func (l *probeLimiter) speedUp() { l.fastProbes = fastProbesPerAnswer }
 
-// take returns how many of those that are due may be tried now.
-func (p *probePace) take(due int, now time.Time) int {
-	pace := float64(probesPerSecond)
-	if p.hasty > 0 {
-		pace = hastyPerSecond
+// take returns how many of the due probes may be sent now.
+func (l *probeLimiter) take(due int, now time.Time) int {
+	rate := float64(probesPerSecond)
+	if l.fastProbes > 0 {
+		rate = fastProbesPerSecond
 	}
-	p.allowed = min(p.allowed+pace*now.Sub(p.at).Seconds(), pace)
-	p.at = now
-	n := min(due, int(p.allowed))
-	p.allowed -= float64(n)
-	p.hasty = max(p.hasty-n, 0)
-	return n
+	l.allowed = min(l.allowed+rate*now.Sub(l.updatedAt).Seconds(), rate)
+	l.updatedAt = now
+	count := min(due, int(l.allowed))
+	l.allowed -= float64(count)
+	l.fastProbes = max(l.fastProbes-count, 0)
+	return count
 }
--- a/internal/fleet/member/table_test.go
+++ b/internal/fleet/member/table_test.go
@@ -27,59 +27,59 @@
 	return out
 }
 
-func TestWordOnLeaving(t *testing.T) {
+func TestNewsOnLeaving(t *testing.T) {
 	steps := []struct {
 		name    string
 		news    News
-		fresh   bool
+		isNew   bool
 		leaving bool
 	}{
-		{"it runs", News{Host: "a", Incarnation: 5}, false, false},
-		{"it leaves", News{Host: "a", Incarnation: 5, Leaving: true}, true, true},
-		{"the same again", News{Host: "a", Incarnation: 5, Leaving: true}, false, true},
-		{"an old word that it runs", News{Host: "a", Incarnation: 5}, false, true},
-		{"it was started again", News{Host: "a", Incarnation: 6}, true, false},
-		{"a late word of its life before", News{Host: "a", Incarnation: 5, Leaving: true}, false, false},
+		{"the host runs", News{Host: "a", Incarnation: 5}, false, false},
+		{"the host leaves", News{Host: "a", Incarnation: 5, Leaving: true}, true, true},
+		{"the same news again", News{Host: "a", Incarnation: 5, Leaving: true}, false, true},
+		{"older news that it runs", News{Host: "a", Incarnation: 5}, false, true},
+		{"the host was restarted", News{Host: "a", Incarnation: 6}, true, false},
+		{"late news of the previous incarnation", News{Host: "a", Incarnation: 5, Leaving: true}, false, false},
 	}
-	// A host says that it leaves, and is started again a moment later. Words of both
-	// lives cross on their way over other hosts.
-	Convey("The word of a host's last life counts, in whatever order words arrive", t, func() {
+	// A host reports that it is leaving, and is restarted a moment later. News of both
+	// incarnations arrives out of order over other hosts.
+	Convey("The news of a host's last incarnation counts, in whatever order news arrives", t, func() {
 		table := New()
 		table.SetHosts(hosts("a", "b"))
 		now := time.Now()
-		for _, s := range steps {
-			So(table.Hear(s.news, now), ShouldEqual, s.fresh)
-			So(table.View(now).Leaving("a"), ShouldEqual, s.leaving)
+		for _, step := range steps {
+			So(table.Hear(step.news, now), ShouldEqual, step.isNew)
+			So(table.View(now).Leaving("a"), ShouldEqual, step.leaving)
 		}
 	})
 }
 
-func TestNewsIsToldForAWhile(t *testing.T) {
-	Convey("A whole zone that leaves makes no digest large, and every word is told in the end", t, func() {
+func TestNewsTransmissions(t *testing.T) {
+	Convey("A whole availability zone that leaves makes no digest large, and all news is sent in the end", t, func() {
 		table := New()
 		now := time.Now()
 		for i := range 20 {
 			table.Hear(News{Host: string(rune('a' + i)), Incarnation: 1, Leaving: true}, now)
 		}
-		told := map[string]int{}
+		transmissions := map[string]int{}
 		for range 200 {
 			news := table.Tell()
-			So(len(news), ShouldBeLessThanOrEqualTo, newsPerDigest)
+			So(len(news), ShouldBeLessThanOrEqualTo, maxNewsPerDigest)
 			for _, n := range news {
-				told[n.Host]++
+				transmissions[n.Host]++
 			}
 		}
-		So(told, ShouldHaveLength, 20)
-		So(told["a"], ShouldEqual, newsTellings)
+		So(transmissions, ShouldHaveLength, 20)
+		So(transmissions["a"], ShouldEqual, maxTransmissions)
 		So(table.Tell(), ShouldBeEmpty)
 	})
 }
 
 func TestSuspects(t *testing.T) {
-	// A rack's switch fails. The platform lists its hosts for a while longer, and
-	// requests that are placed there wait for connections that never open.
+	// A rack's switch fails. The configuration store lists its hosts for a while longer,
+	// and requests sent to them wait for connections that never open.
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Hosts that can't be reached get no work while another is left, and are tried again", t, func() {
+		Convey("Hosts that can't be reached get no work while another host remains, and are probed", t, func() {
 			table := New()
 			all := hosts("a", "b", "c")
 			table.SetHosts(all)
@@ -94,7 +94,7 @@
 			So(usable(), ShouldResemble, []string{"a", "b"})
 
 			So(table.Doubtful(time.Now()), ShouldBeEmpty)
-			time.Sleep(probeEvery)
+			time.Sleep(probeInterval)
 			So(table.Doubtful(time.Now()), ShouldHaveLength, 2)
 			So(table.Doubtful(time.Now()), ShouldBeEmpty)
 			So(table.Reached("a"), ShouldBeTrue)
@@ -106,10 +106,10 @@
 			table.SetHosts(all)
 			table.Refused("a", time.Now())
 			So(names(table.View(time.Now()).Usable(all)), ShouldResemble, []string{"b"})
-			time.Sleep(refusedFor)
+			time.Sleep(refusedTTL)
 			So(names(table.View(time.Now()).Usable(all)), ShouldResemble, []string{"a", "b"})
 		})
-		Convey("A host that is off the list is forgotten, and nobody off it is a suspect", t, func() {
+		Convey("A host that is removed from the list is forgotten, and no unlisted host is a suspect", t, func() {
 			table := New()
 			table.SetHosts(hosts("a"))
 			table.Failed("a", time.Now())
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -6,7 +6,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// View is an immutable account of the hosts that get no new work.
+// View is an immutable view of the hosts that get no new work.
 type View struct {
 	leaving map[string]bool
 	// suspect has the time since which each suspect is one.
@@ -15,59 +15,60 @@
 
 // Usable returns the hosts that may get new work.
 //
-// Made for a rack or switch that fails: its hosts are on the platform's list
-// for a while longer, and each request placed there would cost the caller a
-// connect timeout. A host that says it is leaving never gets work. Suspects are
-// only passed over while another host is left, so that a fault of this daemon's
-// own network can't empty a service.
+// Designed for a rack or switch that fails: its hosts stay on the configuration store's
+// list for a while, and each request sent to one would cost the caller a connect timeout.
+// A host that reports that it is leaving never gets work. Suspects are left out only while
+// another host remains, so that a fault of this daemon's own network can't leave a service
+// without hosts.
 func (v *View) Usable(hosts []lists.Host) []lists.Host {
 	if v.Sound() {
 		return hosts
 	}
-	var sound, suspects []lists.Host
+	var usable, suspects []lists.Host
 	for _, h := range hosts {
 		switch {
 		case h.Leaving || v.leaving[h.Host]:
 		case v.Suspect(h.Host):
 			suspects = append(suspects, h)
 		default:
-			sound = append(sound, h)
+			usable = append(usable, h)
 		}
 	}
-	if len(sound) == 0 {
+	if len(usable) == 0 {
 		return suspects
 	}
-	return sound
+	return usable
 }
 
-// Sound reports whether no host is in doubt.
+// Sound reports whether no host is leaving or a suspect.
 func (v *View) Sound() bool { return len(v.leaving) == 0 && len(v.suspect) == 0 }
 
-// Leaving reports whether the host said that it is leaving.
+// Leaving reports whether the host reported that it is leaving, or refused work for that.
 func (v *View) Leaving(host string) bool { return v.leaving[host] }
 
-// Suspect reports whether the host could not be reached lately.
+// Suspect reports whether the last attempts to reach the host failed.
 func (v *View) Suspect(host string) bool {
 	_, ok := v.suspect[host]
 	return ok
 }
 
-// Back returns when to come back for a host that can't be reached, and 0 for one that can.
+// Back returns the Retry-After delay of a request for a host that can't be reached, and 0 for one that can.
 //
-// Made for regions that lose each other for an hour: callers that are told to come back each second would
-// be refused thousands of times, and a host that has been away for minutes is seldom back within the next
-// second. So they wait for as long as it has been away. The bounds: a suspect is tried every probeEvery,
-// so nothing changes sooner; and after a heal nobody should wait for much longer than the heal takes.
+// Designed for regions that are partitioned for an hour: callers that retry each second would be refused
+// thousands of times, and a host that has been unreachable for minutes is seldom reachable within the next
+// second. So the delay is the time for which it has been unreachable, within two bounds: a suspect is
+// probed every probeInterval, so nothing changes sooner, and after the partition no caller should wait for
+// much longer than the recovery takes.
 func (v *View) Back(host string, now time.Time) time.Duration {
 	since, ok := v.suspect[host]
 	if !ok {
 		return 0
 	}
-	return min(max(now.Sub(since), probeEvery), mostBack)
+	return min(max(now.Sub(since), probeInterval), maxRetryDelay)
 }
 
-// mostBack bounds how long a caller is told to wait for a host that can't be reached.
-const mostBack = 10 * time.Second
+// maxRetryDelay bounds the Retry-After delay of a request for a host that can't be reached.
+const maxRetryDelay = 10 * time.Second
 
-// Counts returns the number of hosts that said they are leaving, and of suspects.
+// Counts returns the numbers of leaving hosts and of suspects.
 func (v *View) Counts() (leaving, suspects int) { return len(v.leaving), len(v.suspect) }
--- a/internal/fleet/member/view_test.go
+++ b/internal/fleet/member/view_test.go
@@ -7,33 +7,33 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Regions lose each other for an hour. A caller whose booking is held in the other one is told when to come back;
-// told one second each time, it would be refused three thousand times.
-func TestBack(t *testing.T) {
+// Regions are partitioned for an hour. A caller whose idempotency key is held in the other region is refused with a
+// Retry-After delay; if that were one second each time, it would be refused three thousand times.
+func TestRetryDelay(t *testing.T) {
 	cases := []struct {
-		name     string
-		failures int
-		away     time.Duration
-		want     time.Duration
+		name            string
+		failures        int
+		failureInterval time.Duration
+		want            time.Duration
 	}{
 		{"a host that answers", 0, 0, 0},
-		{"one failure says nothing yet", 1, time.Hour, 0},
-		{"a suspect of this moment", 2, 0, probeEvery},
-		{"as long as it was away", 2, 7 * time.Second, 7 * time.Second},
-		{"not for much longer than a heal takes", 9, time.Hour, mostBack},
+		{"a host with one failure", 1, time.Hour, 0},
+		{"a host that has just become a suspect", 2, 0, probeInterval},
+		{"as long as the host was unreachable", 2, 7 * time.Second, 7 * time.Second},
+		{"at most maxRetryDelay", 9, time.Hour, maxRetryDelay},
 	}
-	for _, c := range cases {
-		Convey(c.name, t, func() {
+	for _, test := range cases {
+		Convey(test.name, t, func() {
 			table, now := New(), time.Now()
 			table.SetHosts(hosts("a"))
-			for i := range c.failures {
-				table.Failed("a", now.Add(time.Duration(i)*c.away))
+			for i := range test.failures {
+				table.Failed("a", now.Add(time.Duration(i)*test.failureInterval))
 			}
-			end := now.Add(c.away + time.Duration(max(c.failures-1, 0))*c.away)
-			if c.failures > 2 {
-				end = now.Add(2 * c.away)
+			end := now.Add(test.failureInterval + time.Duration(max(test.failures-1, 0))*test.failureInterval)
+			if test.failures > 2 {
+				end = now.Add(2 * test.failureInterval)
 			}
-			So(table.View(end).Back("a", end), ShouldEqual, c.want)
+			So(table.View(end).Back("a", end), ShouldEqual, test.want)
 			table.Reached("a")
 			So(table.View(end).Back("a", end), ShouldEqual, 0)
 		})
