--- a/internal/fleet/rate/apart_test.go
+++ b/internal/fleet/rate/apart_test.go
@@ -54,10 +54,10 @@
 	return n
 }
 
-// One of three equal regions is partitioned from the others for an hour. Neither side has a quorum, so homes lend on
-// confirmations from before. If these were too old, every organisation would be refused as above its rate for the last
-// quarter of the hour. After a partition that outlasts the tenure, homes must lend again at once, not minutes later with
-// the next steady round.
+// One of three equal regions is partitioned from the others for an hour. Neither side has a quorum, more than two
+// thirds of the hosts, so homes lend on confirmations from before. If these were too old, every organisation would be
+// refused as above its rate for the last quarter of the hour, in all three regions. After a partition that outlasts the
+// tenure, homes must lend again at once, not minutes later with the next steady round.
 func TestRegionsPartitionedForAnHour(t *testing.T) {
 	for _, uptime := range []time.Duration{10 * time.Minute, 15 * time.Minute, 20 * time.Minute, 25 * time.Minute, 31 * time.Minute} {
 		Convey(fmt.Sprintf("%s after the start", uptime), t, func() {
--- a/internal/fleet/rate/comeback_test.go
+++ b/internal/fleet/rate/comeback_test.go
@@ -43,7 +43,7 @@
 
 // An organisation has 200 callers and a rate of 20/s; refused callers retry after the delay they were given. If all
 // were given the time of the next token, they would retry together and nearly all be refused: the host answers
-// thousands of refusals, and the upstream on it gets too little processor time.
+// thousands of refusals, and the upstream on that host gets too little processor time.
 func TestRefusedCallersRetrySpread(t *testing.T) {
 	const callers, seconds = 200, 30
 	plans := []lists.Organisation{{Organisation: "o", Plan: "p", Rate: 20, Burst: 40}}
--- a/internal/fleet/rate/holding.go
+++ b/internal/fleet/rate/holding.go
@@ -83,8 +83,8 @@
 	return m.ceasedAt(member)
 }
 
-// lowerRankedReleased checks the same for the members that were home before this one
-// was added to the list: those that rank below it, down to the first that has been
+// lowerRankedReleased returns the same of the members that were home before this one
+// was added to the list, as the latest of their times: those that rank below it, down to the first that has been
 // a member for the whole fence, since no list in use lacks that one.
 func (m *Membership) lowerRankedReleased(key, ownRank uint64, ownChange listChange, now time.Time) (time.Time, bool) {
 	if m.fenceElapsed(ownChange, now) {
--- a/internal/fleet/rate/stock.go
+++ b/internal/fleet/rate/stock.go
@@ -13,7 +13,7 @@
 // renewed over and over.
 const (
 	// minStockDemand is the arrival rate, in requests/s, from which a daemon keeps tokens in stock. Below it a
-	// loan would be renewed more often than spent, and asking for a token takes only a millisecond or two.
+	// loan would be renewed more often than spent; asking for a token when it is needed takes a millisecond or two and costs less.
 	minStockDemand = 1.0
 	// maxStockTime is the time for which stock covers demand at most: half of a default loan, so that a token is spent before it must be renewed.
 	maxStockTime = 500 * time.Millisecond
