--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -124,7 +124,7 @@
 	if holder == r.daemon.settings.Host {
 		return r.hold(ctx, a)
 	}
-	if back := r.daemon.members.Load().Back(holder, time.Now()); back > 0 {
+	if back := r.daemon.members.Load().RetryDelay(holder, time.Now()); back > 0 {
 		return call.Refuse(call.NoUpstream, back)
 	}
 	sent := a.request
@@ -250,7 +250,7 @@
 	answer.RetryAfter = time.Second
 	members := r.daemon.members.Load()
 	for _, host := range r.history.Hosts() {
-		answer.RetryAfter = max(answer.RetryAfter, members.Back(host, now))
+		answer.RetryAfter = max(answer.RetryAfter, members.RetryDelay(host, now))
 	}
 	return answer
 }
--- a/internal/app/daemon/spreading.go
+++ b/internal/app/daemon/spreading.go
@@ -26,7 +26,7 @@
 // tick looks at the clock: what is due is begun, and the daemon's standing follows.
 func (c *control) tick(now time.Time) {
 	c.carryOut(c.core.Tick(now, c.unusable), now)
-	for _, h := range c.members.Doubtful(now) {
+	for _, h := range c.members.DueProbes(now) {
 		c.exchange(h.Peer, now)
 	}
 	c.follow()
@@ -59,7 +59,7 @@
 	}
 	return spread.Digest{
 		Host: c.daemon.settings.Host, Incarnation: c.incarnation, Versions: versions,
-		Ready: c.daemon.takes(now), Leaving: c.leaving, Age: c.core.Age(now), News: c.members.Tell(),
+		Ready: c.daemon.takes(now), Leaving: c.leaving, Age: c.core.Age(now), News: c.members.NextNews(),
 	}
 }
 
@@ -88,7 +88,7 @@
 	delete(c.exchanging, to)
 	now := time.Now()
 	if err != nil {
-		c.failed(c.members.At(to), now)
+		c.failed(c.members.HostAt(to), now)
 		return
 	}
 	c.reached(theirs.Host, now)
@@ -195,13 +195,13 @@
 
 // hearMembers takes a peer's word on itself and what it passes on of others.
 func (c *control) hearMembers(d spread.Digest, now time.Time) {
-	fresh := c.members.Hear(member.News{Host: d.Host, Incarnation: d.Incarnation, Leaving: d.Leaving}, now)
+	fresh := c.members.Apply(member.News{Host: d.Host, Incarnation: d.Incarnation, Leaving: d.Leaving}, now)
 	for _, n := range d.News {
 		if n.Host == c.daemon.settings.Host {
 			c.deny(n)
 			continue
 		}
-		fresh = c.members.Hear(n, now) || fresh
+		fresh = c.members.Apply(n, now) || fresh
 	}
 	if fresh {
 		c.spreadNews(now)
@@ -228,7 +228,7 @@
 	c.ask(func() {
 		now := time.Now()
 		c.leaving = true
-		c.members.Hear(member.News{Host: c.daemon.settings.Host, Incarnation: c.incarnation, Leaving: true}, now)
+		c.members.Apply(member.News{Host: c.daemon.settings.Host, Incarnation: c.incarnation, Leaving: true}, now)
 		c.spreadNews(now)
 	})
 }
--- a/internal/app/daemon/usable.go
+++ b/internal/app/daemon/usable.go
@@ -22,7 +22,7 @@
 
 // of returns the service's usable hosts, the same slice while neither view nor members change.
 func (u *usableHosts) of(service string, view *lists.View, members *member.View) []lists.Host {
-	if members.Sound() {
+	if members.Empty() {
 		return view.HostsOf(service)
 	}
 	u.mu.Lock()
--- a/internal/app/daemon/usable_test.go
+++ b/internal/app/daemon/usable_test.go
@@ -21,7 +21,7 @@
 		table.SetHosts(list)
 		sound := table.View(time.Now())
 		So(&u.of("s", view, sound)[0], ShouldPointTo, &view.HostsOf("s")[0])
-		table.Hear(member.News{Host: "b", Incarnation: 1, Leaving: true}, time.Now())
+		table.Apply(member.News{Host: "b", Incarnation: 1, Leaving: true}, time.Now())
 		leaving := table.View(time.Now())
 		first := u.of("s", view, leaving)
 		So(len(first), ShouldEqual, 2)
--- a/internal/fleet/member/probes_test.go
+++ b/internal/fleet/member/probes_test.go
@@ -32,7 +32,7 @@
 	// probe returns the number of probes; hosts that answer are no longer suspects.
 	probe := func(table *Table, from, to time.Duration, answers bool) (probes int) {
 		for at := from; at < to; at += checkInterval {
-			for _, h := range table.Doubtful(start.Add(at)) {
+			for _, h := range table.DueProbes(start.Add(at)) {
 				probes++
 				if answers {
 					table.Reached(h.Host)
@@ -73,7 +73,7 @@
 			table.Failed(name, start)
 		}
 		var tried []string
-		for _, h := range table.Doubtful(start.Add(probeInterval)) {
+		for _, h := range table.DueProbes(start.Add(probeInterval)) {
 			tried = append(tried, h.Host)
 		}
 		So(tried, ShouldResemble, all)
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// At returns the name of the listed host with the given address, or an empty string.
-func (t *Table) At(peer netip.AddrPort) string { return t.byPeer[peer] }
+// HostAt returns the name of the listed host with the given address, or an empty string.
+func (t *Table) HostAt(peer netip.AddrPort) string { return t.byPeer[peer] }
 
 // state returns the host's state, adding one if there is none.
 func (t *Table) state(host string) *hostState {
@@ -94,8 +94,8 @@
 	return s
 }
 
-// Hear applies a host's news, received from itself or from another host, and reports whether it changed anything.
-func (t *Table) Hear(n News, now time.Time) bool {
+// Apply applies a host's news, received from itself or from another host, and reports whether it changed anything.
+func (t *Table) Apply(n News, now time.Time) bool {
 	s := t.state(n.Host)
 	newer := n.Incarnation > s.incarnation || (n.Incarnation == s.incarnation && n.Leaving && !s.leaving)
 	if !newer {
@@ -111,8 +111,8 @@
 	return true
 }
 
-// Tell returns the newest news for a digest and counts the transmission.
-func (t *Table) Tell() []News {
+// NextNews returns the newest news for a digest and counts the transmission.
+func (t *Table) NextNews() []News {
 	var out []News
 	for i := len(t.newsQueue) - 1; i >= 0 && len(out) < maxNewsPerDigest; i-- {
 		host := t.newsQueue[i]
@@ -169,12 +169,12 @@
 	return s != nil && s.failures >= suspectFailures
 }
 
-// Doubtful returns the listed hosts with failures that are due for another probe, as many as the rate allows: first those
+// DueProbes returns the listed hosts with failures that are due for another probe, as many as the rate allows: first those
 // that are not yet suspects, then those that were tried longest ago.
 //
 // Without these probes a host that was unreachable for a while would stay a suspect
 // for good where no request goes to it and it has no reason to send one.
-func (t *Table) Doubtful(now time.Time) []lists.Host {
+func (t *Table) DueProbes(now time.Time) []lists.Host {
 	if len(t.failing) == 0 {
 		return nil
 	}
--- a/internal/fleet/member/table_test.go
+++ b/internal/fleet/member/table_test.go
@@ -48,7 +48,7 @@
 		table.SetHosts(hosts("a", "b"))
 		now := time.Now()
 		for _, step := range steps {
-			So(table.Hear(step.news, now), ShouldEqual, step.isNew)
+			So(table.Apply(step.news, now), ShouldEqual, step.isNew)
 			So(table.View(now).Leaving("a"), ShouldEqual, step.leaving)
 		}
 	})
@@ -59,11 +59,11 @@
 		table := New()
 		now := time.Now()
 		for i := range 20 {
-			table.Hear(News{Host: string(rune('a' + i)), Incarnation: 1, Leaving: true}, now)
+			table.Apply(News{Host: string(rune('a' + i)), Incarnation: 1, Leaving: true}, now)
 		}
 		transmissions := map[string]int{}
 		for range 200 {
-			news := table.Tell()
+			news := table.NextNews()
 			So(len(news), ShouldBeLessThanOrEqualTo, maxNewsPerDigest)
 			for _, n := range news {
 				transmissions[n.Host]++
@@ -71,7 +71,7 @@
 		}
 		So(transmissions, ShouldHaveLength, 20)
 		So(transmissions["a"], ShouldEqual, maxTransmissions)
-		So(table.Tell(), ShouldBeEmpty)
+		So(table.NextNews(), ShouldBeEmpty)
 	})
 }
 
@@ -90,13 +90,13 @@
 			So(usable(), ShouldResemble, []string{"b", "c"})
 			table.Failed("b", time.Now())
 			table.Failed("b", time.Now())
-			table.Hear(News{Host: "c", Incarnation: 1, Leaving: true}, time.Now())
+			table.Apply(News{Host: "c", Incarnation: 1, Leaving: true}, time.Now())
 			So(usable(), ShouldResemble, []string{"a", "b"})
 
-			So(table.Doubtful(time.Now()), ShouldBeEmpty)
+			So(table.DueProbes(time.Now()), ShouldBeEmpty)
 			time.Sleep(probeInterval)
-			So(table.Doubtful(time.Now()), ShouldHaveLength, 2)
-			So(table.Doubtful(time.Now()), ShouldBeEmpty)
+			So(table.DueProbes(time.Now()), ShouldHaveLength, 2)
+			So(table.DueProbes(time.Now()), ShouldBeEmpty)
 			So(table.Reached("a"), ShouldBeTrue)
 			So(usable(), ShouldResemble, []string{"a"})
 		})
@@ -117,7 +117,7 @@
 			table.SetHosts(hosts("b"))
 			So(table.Suspect("a"), ShouldBeFalse)
 			So(table.Failed("a", time.Now()), ShouldBeFalse)
-			So(table.At(hosts("b")[0].Peer), ShouldEqual, "b")
+			So(table.HostAt(hosts("b")[0].Peer), ShouldEqual, "b")
 		})
 	})
 }
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -21,7 +21,7 @@
 // another host remains, so that a fault of this daemon's own network can't leave a service
 // without hosts.
 func (v *View) Usable(hosts []lists.Host) []lists.Host {
-	if v.Sound() {
+	if v.Empty() {
 		return hosts
 	}
 	var usable, suspects []lists.Host
@@ -40,8 +40,8 @@
 	return usable
 }
 
-// Sound reports whether no host is leaving or a suspect.
-func (v *View) Sound() bool { return len(v.leaving) == 0 && len(v.suspect) == 0 }
+// Empty reports whether no host is leaving or a suspect.
+func (v *View) Empty() bool { return len(v.leaving) == 0 && len(v.suspect) == 0 }
 
 // Leaving reports whether the host reported that it is leaving, or refused work for that.
 func (v *View) Leaving(host string) bool { return v.leaving[host] }
@@ -52,14 +52,14 @@
 	return ok
 }
 
-// Back returns the Retry-After delay of a request for a host that can't be reached, and 0 for one that can.
+// RetryDelay returns the Retry-After delay of a request for a host that can't be reached, and 0 for one that can.
 //
 // Designed for regions that are partitioned for an hour: callers that retry each second would be refused
 // thousands of times, and a host that has been unreachable for minutes is seldom reachable within the next
 // second. So the delay is the time for which it has been unreachable, within two bounds: a suspect is
 // probed every probeInterval, so nothing changes sooner, and after the partition no caller should wait for
 // much longer than the recovery takes.
-func (v *View) Back(host string, now time.Time) time.Duration {
+func (v *View) RetryDelay(host string, now time.Time) time.Duration {
 	since, ok := v.suspect[host]
 	if !ok {
 		return 0
--- a/internal/fleet/member/view_test.go
+++ b/internal/fleet/member/view_test.go
@@ -33,9 +33,9 @@
 			if test.failures > 2 {
 				end = now.Add(2 * test.failureInterval)
 			}
-			So(table.View(end).Back("a", end), ShouldEqual, test.want)
+			So(table.View(end).RetryDelay("a", end), ShouldEqual, test.want)
 			table.Reached("a")
-			So(table.View(end).Back("a", end), ShouldEqual, 0)
+			So(table.View(end).RetryDelay("a", end), ShouldEqual, 0)
 		})
 	}
 }
--- a/internal/fleet/spread/network_test.go
+++ b/internal/fleet/spread/network_test.go
@@ -233,7 +233,7 @@
 		now := d.net.now
 		work := d.core.Tick(now, d.skip)
 		d.carryOut(work)
-		for _, h := range d.members.Doubtful(now) {
+		for _, h := range d.members.DueProbes(now) {
 			d.exchange(h.Peer)
 		}
 		if d.core.Reads(d.skip) {
