--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -124,7 +124,7 @@
 	if holder == r.daemon.settings.Host {
 		return r.runOnce(ctx, a)
 	}
-	if retryAfter := r.daemon.members.Load().Back(holder, time.Now()); retryAfter > 0 {
+	if retryAfter := r.daemon.members.Load().RetryDelay(holder, time.Now()); retryAfter > 0 {
 		return call.Refuse(call.NoUpstream, retryAfter)
 	}
 	sent := a.request
@@ -251,7 +251,7 @@
 	answer.RetryAfter = time.Second
 	members := r.daemon.members.Load()
 	for _, host := range r.history.Hosts() {
-		answer.RetryAfter = max(answer.RetryAfter, members.Back(host, now))
+		answer.RetryAfter = max(answer.RetryAfter, members.RetryDelay(host, now))
 	}
 	return answer
 }
--- a/internal/app/daemon/spreading.go
+++ b/internal/app/daemon/spreading.go
@@ -26,7 +26,7 @@
 // tick does the timed work that is due and updates the serving state.
 func (c *control) tick(now time.Time) {
 	c.perform(c.core.Tick(now, c.unusable), now)
-	for _, h := range c.members.Doubtful(now) {
+	for _, h := range c.members.DueProbes(now) {
 		c.exchange(h.Peer, now)
 	}
 	c.updateWatches()
@@ -59,7 +59,7 @@
 	}
 	return spread.Digest{
 		Host: c.daemon.settings.Host, Incarnation: c.incarnation, Versions: versions,
-		Ready: c.daemon.acceptsCallers(now), Leaving: c.leaving, Age: c.core.Age(now), News: c.members.Tell(),
+		Ready: c.daemon.acceptsCallers(now), Leaving: c.leaving, Age: c.core.Age(now), News: c.members.NextNews(),
 	}
 }
 
@@ -88,7 +88,7 @@
 	delete(c.exchanging, to)
 	now := time.Now()
 	if err != nil {
-		c.recordFailure(c.members.At(to), now)
+		c.recordFailure(c.members.HostAt(to), now)
 		return
 	}
 	c.recordContact(theirs.Host, now)
@@ -196,13 +196,13 @@
 
 // applyMembership records the state that a peer reports of itself and the news that it forwards of others.
 func (c *control) applyMembership(digest spread.Digest, now time.Time) {
-	changed := c.members.Hear(member.News{Host: digest.Host, Incarnation: digest.Incarnation, Leaving: digest.Leaving}, now)
+	changed := c.members.Apply(member.News{Host: digest.Host, Incarnation: digest.Incarnation, Leaving: digest.Leaving}, now)
 	for _, news := range digest.News {
 		if news.Host == c.daemon.settings.Host {
 			c.refuteLeaving(news)
 			continue
 		}
-		changed = c.members.Hear(news, now) || changed
+		changed = c.members.Apply(news, now) || changed
 	}
 	if changed {
 		c.pushMembership(now)
@@ -229,7 +229,7 @@
 	c.do(func() {
 		now := time.Now()
 		c.leaving = true
-		c.members.Hear(member.News{Host: c.daemon.settings.Host, Incarnation: c.incarnation, Leaving: true}, now)
+		c.members.Apply(member.News{Host: c.daemon.settings.Host, Incarnation: c.incarnation, Leaving: true}, now)
 		c.pushMembership(now)
 	})
 }
--- a/internal/app/daemon/usable.go
+++ b/internal/app/daemon/usable.go
@@ -21,7 +21,7 @@
 
 // forService returns the service's usable hosts; it returns the same slice until the view or the members change.
 func (u *usableHosts) forService(service string, view *lists.View, members *member.View) []lists.Host {
-	if members.Sound() {
+	if members.Empty() {
 		return view.HostsOf(service)
 	}
 	u.mu.Lock()
--- a/internal/app/daemon/usable_test.go
+++ b/internal/app/daemon/usable_test.go
@@ -20,7 +20,7 @@
 		table.SetHosts(list)
 		sound := table.View(time.Now())
 		So(&u.forService("s", view, sound)[0], ShouldPointTo, &view.HostsOf("s")[0])
-		table.Hear(member.News{Host: "b", Incarnation: 1, Leaving: true}, time.Now())
+		table.Apply(member.News{Host: "b", Incarnation: 1, Leaving: true}, time.Now())
 		leaving := table.View(time.Now())
 		first := u.forService("s", view, leaving)
 		So(len(first), ShouldEqual, 2)
