--- a/internal/decide/lineage/calls.go
+++ b/internal/decide/lineage/calls.go
@@ -2,77 +2,78 @@
 
 import "github.com/foxtailhook/foxtailhook/internal/fleet/graph"
 
-// tally counts runs of a route, and their calls by the route called.
-type tally struct {
+// callCounts counts the runs of a route and their sub-calls by the route called. The counts decay, so they aren't whole numbers.
+type callCounts struct {
 	runs  float64
 	calls map[string]float64
 }
 
 const (
-	// countedRuns is how many runs are counted before all counts of their route are halved: some seconds' worth on a busy instance.
-	countedRuns = 200
-	// enoughRuns is how many runs that ended well tell how many calls one makes.
-	enoughRuns = 3
+	// maxCountedRuns is the number of runs after which all counts of the route are halved: several seconds' worth on a busy instance.
+	maxCountedRuns = 200
+	// minSucceededRuns is how many successful runs are needed before the sub-calls per run are taken from successful runs alone.
+	minSucceededRuns = 3
 )
 
-func tallyOf(tallies map[string]*tally, route string) *tally {
-	t := tallies[route]
-	if t == nil {
-		t = &tally{calls: map[string]float64{}}
-		tallies[route] = t
+// countsFor returns the counts of the route and adds empty ones for a new route.
+func countsFor(byRoute map[string]*callCounts, route string) *callCounts {
+	counts := byRoute[route]
+	if counts == nil {
+		counts = &callCounts{calls: map[string]float64{}}
+		byRoute[route] = counts
 	}
-	return t
+	return counts
 }
 
-func (t *tally) add(runs float64, calls map[string]float64) {
-	t.runs += runs
-	for to, count := range calls {
-		t.calls[to] += count
+func (c *callCounts) add(runs float64, calls map[string]float64) {
+	c.runs += runs
+	for route, count := range calls {
+		c.calls[route] += count
 	}
-	if t.runs > countedRuns {
-		t.fade()
+	if c.runs > maxCountedRuns {
+		c.halve()
 	}
 }
 
-func (t *tally) fade() {
-	t.runs /= 2
-	for to := range t.calls {
-		t.calls[to] /= 2
+func (c *callCounts) halve() {
+	c.runs /= 2
+	for route := range c.calls {
+		c.calls[route] /= 2
 	}
 }
 
-// mean returns how many calls a run makes.
-func (t *tally) mean() map[string]float64 {
-	mean := make(map[string]float64, len(t.calls))
-	for to, count := range t.calls {
-		mean[to] = count / t.runs
+// callsPerRun returns the mean number of sub-calls of a run by the route called.
+func (c *callCounts) callsPerRun() map[string]float64 {
+	mean := make(map[string]float64, len(c.calls))
+	for route, count := range c.calls {
+		mean[route] = count / c.runs
 	}
 	return mean
 }
 
-// count takes in that the call on the route was taken for one of the run's.
-func (r *Runs) count(run *Run, route string) {
+// recordCall counts a sub-call on the route that was attributed to the run.
+func (r *Runs) recordCall(run *Run, route string) {
 	if run.calls == nil {
 		run.calls = map[string]float64{}
 	}
 	run.calls[route]++
-	tallyOf(r.begun, run.Route).calls[route]++
+	countsFor(r.started, run.Route).calls[route]++
 }
 
-// Calls returns how many calls a run of each route makes on other routes. Runs that fail end before they have made all of theirs, so
-// those that ended well tell it wherever there are some.
+// Calls returns the mean number of sub-calls that a run of each route makes, by the route called. Failed runs end before they have
+// made all of theirs, so only successful runs are counted on routes that have enough of them.
 func (r *Runs) Calls() graph.Edges {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := graph.Edges{}
-	for route, t := range r.begun {
-		if ended := r.ended[route]; ended != nil && ended.runs >= enoughRuns {
-			t = ended
+	edges := graph.Edges{}
+	for route, counts := range r.started {
+		if succeeded := r.succeeded[route]; succeeded != nil && succeeded.runs >= minSucceededRuns {
+			counts = succeeded
 		}
-		// Without a run, all counts were forgotten while one was at work, and it has called since.
-		if t.runs >= 1 && len(t.calls) > 0 {
-			all[route] = t.mean()
+		// There may be sub-calls without a run: the counts were cleared while the run was active.
+		if counts.runs >= 1 && len(counts.calls) > 0 {
+			edges[route] = counts.callsPerRun()
 		}
 	}
-	return all
+	return edges
 }
--- a/internal/decide/lineage/doc.go
+++ b/internal/decide/lineage/doc.go
@@ -1,2 +1,2 @@
-// Package lineage finds the running request that an instance's own call belongs to.
+// Package lineage finds the active run that a sub-call of the local instance belongs to.
 package lineage
--- a/internal/decide/lineage/failures.go
+++ b/internal/decide/lineage/failures.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// failure is a call that failed, with the run that it was taken for a call of.
+// failure is a failed sub-call and the run that it was attributed to.
 type failure struct {
-	route  string
-	parent *Run
-	at     time.Time
+	route    string
+	parent   *Run
+	failedAt time.Time
 }
 
 const (
-	// failureTime is how long after a call's failure a run may end for it: instances answer at once.
-	failureTime = 100 * time.Millisecond
-	// mostFailures bounds the failures that are kept.
-	mostFailures = 256
+	// failureTTL is how long after a sub-call's failure the failure of a run may be attributed to it: instances respond at once.
+	failureTTL = 100 * time.Millisecond
+	// maxFailures bounds the failures that are kept.
+	maxFailures = 256
 )
 
-// CallFailed takes in that a call on the route failed, which was taken for one of the parent's.
+// CallFailed records that a sub-call on the route failed that was attributed to the parent.
 func (r *Runs) CallFailed(parent *Run, route string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forget(now)
-	if len(r.failures) < mostFailures {
+	r.dropExpiredFailures(now)
+	if len(r.failures) < maxFailures {
 		r.failures = append(r.failures, failure{route, parent, now})
 	}
 }
 
-// CausedByCall reports whether the failure of a run that has just ended is that of a call. Each failed call explains one run: one that
-// is taken for a call of it, or else one that a run of its route makes, since some calls are taken for those of other runs.
+// CausedByCall reports whether the failure of a run that has just ended is attributed to a failed sub-call. Each failed sub-call
+// accounts for one run: the run that it was attributed to, or else one whose route makes such sub-calls, since some sub-calls are
+// attributed to the wrong run.
 func (r *Runs) CausedByCall(run *Run, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forget(now)
-	at := slices.IndexFunc(r.failures, func(f failure) bool { return f.parent == run })
-	if at < 0 {
-		at = slices.IndexFunc(r.failures, func(f failure) bool { return r.calls[pair{run.Route, f.route}] >= makerShare })
+	r.dropExpiredFailures(now)
+	index := slices.IndexFunc(r.failures, func(f failure) bool { return f.parent == run })
+	if index < 0 {
+		index = slices.IndexFunc(r.failures, func(f failure) bool { return r.callerShares[routePair{run.Route, f.route}] >= minCallerShare })
 	}
-	if at < 0 {
+	if index < 0 {
 		return false
 	}
-	r.failures = slices.Delete(r.failures, at, at+1)
+	r.failures = slices.Delete(r.failures, index, index+1)
 	return true
 }
 
-// forget drops the failures that explain nothing any more.
-func (r *Runs) forget(now time.Time) {
-	r.failures = slices.DeleteFunc(r.failures, func(f failure) bool { return now.Sub(f.at) > failureTime })
+// dropExpiredFailures drops the failures that are too old to be the cause of a run's failure.
+func (r *Runs) dropExpiredFailures(now time.Time) {
+	r.failures = slices.DeleteFunc(r.failures, func(f failure) bool { return now.Sub(f.failedAt) > failureTTL })
 }
--- a/internal/decide/lineage/runs.go
+++ b/internal/decide/lineage/runs.go
@@ -9,24 +9,25 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Run is one request that the instance beside the daemon is running.
+// Run is one request that the local instance is running.
 type Run struct {
 	// Route is the route on which the request came to this instance.
 	Route string
-	// Root names the route of the caller's request that all of this is for.
+	// Root names the route of the caller's request at the head of the call chain.
 	Root string
 	// Priority is that of the caller's request.
 	Priority call.Priority
-	// Retry tells that the run is a repeat, or was called by one.
+	// Retry means that the run is a retry, or was called by one.
 	Retry bool
 
 	deadline time.Time
-	// calls are how many calls on each route were taken for the run's.
+	// calls counts the sub-calls attributed to the run, by their route.
 	calls map[string]float64
 
-	mu      sync.Mutex
-	met     map[string]*mean
-	refused bool
+	mu sync.Mutex
+	// observed holds the mean saturation of each service that the run's sub-calls reached.
+	observed map[string]*mean
+	refused  bool
 }
 
 // mean is the mean of some values.
@@ -35,211 +36,213 @@
 	count int
 }
 
-// Observe takes in how full the service was that one of the run's calls has met, and whether the call was refused there.
-func (r *Run) Observe(service string, fullness float64, refused bool) {
+// Observe records the saturation of a service that one of the run's sub-calls reached, and whether the sub-call was refused.
+func (r *Run) Observe(service string, saturation float64, refused bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refused = r.refused || refused
-	if r.met == nil {
-		r.met = map[string]*mean{}
+	if r.observed == nil {
+		r.observed = map[string]*mean{}
 	}
-	m := r.met[service]
+	m := r.observed[service]
 	if m == nil {
 		m = &mean{}
-		r.met[service] = m
+		r.observed[service] = m
 	}
-	m.sum += fullness
+	m.sum += saturation
 	m.count++
 }
 
-// Saturation returns how full the fullest service was that the run's calls have met, and whether one of them was refused. Calls to
-// one service count by their mean: the fullest moment out of ten looks full on a service that has a third of its slots free.
-func (r *Run) Saturation() (fullness float64, refused bool) {
+// Saturation returns the highest saturation among the services that the run's sub-calls reached, and whether any sub-call was refused.
+// The samples of one service are averaged: the maximum of ten samples looks saturated on a service with a third of its slots free.
+func (r *Run) Saturation() (saturation float64, refused bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, m := range r.met {
-		fullness = max(fullness, m.sum/float64(m.count))
+	for _, m := range r.observed {
+		saturation = max(saturation, m.sum/float64(m.count))
 	}
-	return fullness, r.refused
+	return saturation, r.refused
 }
 
-// Runs are the requests that the instance is running, by their deadlines.
+// Runs holds the active runs of the local instance, ordered by deadline.
 //
-// An instance names no parent in its calls, but a call ends when its parent does: the time that it says it has
-// left points at the parent. Calls with a shorter time of their own are taken to be made by runs of the
-// routes that make such calls, which is learned from the moments in which the parent is certain. Without
-// that, a call for a payment waits behind one for a lookup, and a lookup that must fail for a full
-// service deep down is let in at the front all the same.
+// An instance doesn't name the parent in its sub-calls, but a sub-call ends when its parent does: its remaining time points at the run
+// with the same deadline. A sub-call with a shorter timeout of its own is attributed to a run of one of the routes that make such
+// sub-calls, which is learned from those whose parent is certain. Without this, a sub-call for a payment waits behind one for a
+// lookup, and a lookup that must fail at a saturated service deep in the chain is admitted at the ingress all the same.
 type Runs struct {
 	mu     sync.Mutex
 	active []*Run
 	rand   func() float64
-	// calls are who makes the calls on a route, as smoothed shares.
-	calls map[pair]float64
-	// begun counts all runs of a route and their calls, and ended those that ended well.
-	begun, ended map[string]*tally
-	// points is the part of a route's calls that point at a parent.
-	points map[string]float64
-	// failures are the calls that have failed and explain no failed run yet, oldest first.
+	// callerShares holds the smoothed share of each calling route in the sub-calls on a route.
+	callerShares map[routePair]float64
+	// started counts all runs of a route and their sub-calls, succeeded only the runs that succeeded.
+	started, succeeded map[string]*callCounts
+	// matchFractions is the smoothed fraction of a route's sub-calls whose deadline matches that of an active run.
+	matchFractions map[string]float64
+	// failures holds the failed sub-calls that no failed run has been attributed to yet, oldest first.
 	failures []failure
 }
 
-type pair struct{ from, to string }
+type routePair struct{ caller, called string }
 
 const (
-	// slack is how far the time that a call has left may be from its parent's: both are told in whole milliseconds, and the
-	// call takes a moment to arrive.
-	slack = 4 * time.Millisecond
-	// told is the part of a route's calls that must point at a parent for one that does to count as certain: with many runs
-	// there is nearly always one whose deadline is near by chance. toldWeight is the weight of one call in it.
-	told       = 0.7
-	toldWeight = 0.05
-	// learnWeight is the weight of one call in what is known of who makes such calls.
-	learnWeight = 0.01
-	// unknownWeight lets routes of which nothing is known be taken for parents too.
-	unknownWeight = 0.005
-	// makerShare is the part of the calls on a route from which on those that seem to make them do: a few are always taken
-	// for calls of the wrong run, and they weigh much on a route with few runs.
-	makerShare = 0.05
+	// deadlineTolerance is the maximum difference between the deadlines of a sub-call and its parent: both remaining times are sent
+	// in whole milliseconds, and the sub-call takes a moment to arrive.
+	deadlineTolerance = 4 * time.Millisecond
+	// minMatchFraction is the fraction of a route's sub-calls whose deadline must match that of a run before a match counts as
+	// certain: among many runs there is nearly always one whose deadline is near by chance.
+	minMatchFraction = 0.7
+	// matchWeight is the weight of one sub-call in the smoothed fraction.
+	matchWeight = 0.05
+	// callerShareWeight is the weight of one sub-call in the caller shares.
+	callerShareWeight = 0.01
+	// callerSharePrior is added to each caller share, so that runs of unknown routes can be chosen as parents too.
+	callerSharePrior = 0.005
+	// minCallerShare is the share in a route's sub-calls above which a calling route is taken to make them: a few sub-calls are always
+	// attributed to the wrong run, and they weigh much on a route with few runs.
+	minCallerShare = 0.05
 )
 
-// Option sets one property of runs.
+// Option configures a Runs.
 type Option func(*Runs)
 
-// WithRand sets the source of chance, numbers from 0 to 1.
-func WithRand(f func() float64) Option { return func(r *Runs) { r.rand = f } }
+// WithRand sets the random source, numbers from 0 up to below 1.
+func WithRand(random func() float64) Option { return func(r *Runs) { r.rand = random } }
 
-// New returns runs without any.
+// New returns a Runs without active runs.
 func New(opts ...Option) *Runs {
-	r := &Runs{rand: rand.Float64, calls: map[pair]float64{}, begun: map[string]*tally{}, ended: map[string]*tally{}, points: map[string]float64{}}
+	r := &Runs{rand: rand.Float64, callerShares: map[routePair]float64{}, started: map[string]*callCounts{}, succeeded: map[string]*callCounts{}, matchFractions: map[string]float64{}}
 	for _, opt := range opts {
 		opt(r)
 	}
 	return r
 }
 
-// Begin notes a run whose deadline was told to the instance.
+// Begin adds a run; deadline is the one that was sent to the instance.
 func (r *Runs) Begin(run *Run, deadline time.Time) {
 	run.deadline = deadline
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.active = slices.Insert(r.active, r.search(deadline), run)
-	tallyOf(r.begun, run.Route).add(1, nil)
+	r.active = slices.Insert(r.active, r.indexByDeadline(deadline), run)
+	countsFor(r.started, run.Route).add(1, nil)
 }
 
-// End forgets a run that is over; well means that its instance answered without a failure.
-func (r *Runs) End(run *Run, well bool) {
+// End removes a run; succeeded means that its instance responded without a failure.
+func (r *Runs) End(run *Run, succeeded bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if well {
-		tallyOf(r.ended, run.Route).add(1, run.calls)
+	if succeeded {
+		countsFor(r.succeeded, run.Route).add(1, run.calls)
 	}
-	for at := r.search(run.deadline); at < len(r.active); at++ {
-		if r.active[at] == run {
-			r.active = slices.Delete(r.active, at, at+1)
+	for i := r.indexByDeadline(run.deadline); i < len(r.active); i++ {
+		if r.active[i] == run {
+			r.active = slices.Delete(r.active, i, i+1)
 			return
 		}
 	}
 }
 
-func (r *Runs) search(deadline time.Time) int {
-	at, _ := slices.BinarySearchFunc(r.active, deadline, func(run *Run, at time.Time) int { return run.deadline.Compare(at) })
-	return at
+// indexByDeadline returns the index of the first active run that ends at the deadline or later.
+func (r *Runs) indexByDeadline(deadline time.Time) int {
+	index, _ := slices.BinarySearchFunc(r.active, deadline, func(run *Run, deadline time.Time) int { return run.deadline.Compare(deadline) })
+	return index
 }
 
-// Parent returns the run that a call on the route belongs to, as far as can be told; nil where none can be it.
+// Parent returns the run that a sub-call on the route most likely belongs to, or nil if no active run ends late enough.
 func (r *Runs) Parent(route string, deadline time.Time) *Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := r.search(deadline.Add(-slack))
-	later := r.active[at:]
-	if len(later) == 0 {
+	first := r.indexByDeadline(deadline.Add(-deadlineTolerance))
+	candidates := r.active[first:]
+	if len(candidates) == 0 {
 		return nil
 	}
-	near := nearest(later, deadline)
-	if r.pointing(route, near != nil) && near != nil {
-		r.learn(near.Route, route)
-		r.count(near, route)
-		return near
+	match := matchDeadline(candidates, deadline)
+	if r.deadlinesMatch(route, match != nil) && match != nil {
+		r.recordCaller(match.Route, route)
+		r.recordCall(match, route)
+		return match
 	}
-	chosen := r.draw(later, route)
-	if r.calls[pair{chosen.Route, route}] >= makerShare {
-		r.count(chosen, route)
+	chosen := r.drawParent(candidates, route)
+	if r.callerShares[routePair{chosen.Route, route}] >= minCallerShare {
+		r.recordCall(chosen, route)
 	}
 	return chosen
 }
 
-// pointing reports whether calls on the route say by their time whose they are.
-func (r *Runs) pointing(route string, points bool) bool {
-	share, known := r.points[route]
+// deadlinesMatch records whether a sub-call on the route matched a run's deadline, and reports whether enough of the route's sub-calls
+// do for a match to be certain.
+func (r *Runs) deadlinesMatch(route string, matched bool) bool {
+	fraction, known := r.matchFractions[route]
 	if !known {
-		share = 0.5
+		fraction = 0.5
 	}
-	share *= 1 - toldWeight
-	if points {
-		share += toldWeight
+	fraction *= 1 - matchWeight
+	if matched {
+		fraction += matchWeight
 	}
-	r.points[route] = share
-	return share >= told
+	r.matchFractions[route] = fraction
+	return fraction >= minMatchFraction
 }
 
-// nearest returns the run whose deadline is that of the call, or nil.
-func nearest(later []*Run, deadline time.Time) *Run {
+// matchDeadline returns the run with the deadline nearest to the given one, within the tolerance, or nil.
+func matchDeadline(candidates []*Run, deadline time.Time) *Run {
 	var best *Run
-	for _, run := range later {
-		off := run.deadline.Sub(deadline)
-		if off > slack {
+	for _, run := range candidates {
+		offset := run.deadline.Sub(deadline)
+		if offset > deadlineTolerance {
 			break
 		}
-		if best == nil || off.Abs() < best.deadline.Sub(deadline).Abs() {
+		if best == nil || offset.Abs() < best.deadline.Sub(deadline).Abs() {
 			best = run
 		}
 	}
 	return best
 }
 
-// draw picks one of the runs by how many such calls their routes make.
-func (r *Runs) draw(from []*Run, route string) *Run {
+// drawParent chooses one of the runs at random, weighted by the shares of their routes in such sub-calls.
+func (r *Runs) drawParent(candidates []*Run, route string) *Run {
 	total := 0.0
-	for _, run := range from {
-		total += r.weight(run, route)
+	for _, run := range candidates {
+		total += r.callerWeight(run, route)
 	}
-	at := r.rand() * total
-	chosen := from[len(from)-1]
-	for _, run := range from {
-		if at -= r.weight(run, route); at < 0 {
+	remaining := r.rand() * total
+	chosen := candidates[len(candidates)-1]
+	for _, run := range candidates {
+		if remaining -= r.callerWeight(run, route); remaining < 0 {
 			chosen = run
 			break
 		}
 	}
-	r.learn(chosen.Route, route)
+	r.recordCaller(chosen.Route, route)
 	return chosen
 }
 
-func (r *Runs) weight(run *Run, route string) float64 {
-	return r.calls[pair{run.Route, route}] + unknownWeight
+func (r *Runs) callerWeight(run *Run, route string) float64 {
+	return r.callerShares[routePair{run.Route, route}] + callerSharePrior
 }
 
-// learn moves what is known of a call's makers towards this one.
-func (r *Runs) learn(from, to string) {
-	for p, w := range r.calls {
-		if p.to == to {
-			r.calls[p] = w * (1 - learnWeight)
+// recordCaller moves the caller shares of the called route towards this caller.
+func (r *Runs) recordCaller(caller, called string) {
+	for pair, share := range r.callerShares {
+		if pair.called == called {
+			r.callerShares[pair] = share * (1 - callerShareWeight)
 		}
 	}
-	r.calls[pair{from, to}] += learnWeight
-	if len(r.calls) > mostPairs {
-		clear(r.calls)
-		clear(r.begun)
-		clear(r.ended)
-		clear(r.points)
+	r.callerShares[routePair{caller, called}] += callerShareWeight
+	if len(r.callerShares) > maxRoutePairs {
+		clear(r.callerShares)
+		clear(r.started)
+		clear(r.succeeded)
+		clear(r.matchFractions)
 	}
 }
 
-// mostPairs bounds what is kept over many changes of the configuration.
-const mostPairs = 1024
+// maxRoutePairs bounds the state that is kept over many configuration changes.
+const maxRoutePairs = 1024
 
-// Len returns how many requests are running.
+// Len returns the number of active runs.
 func (r *Runs) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/decide/lineage/runs_test.go
+++ b/internal/decide/lineage/runs_test.go
@@ -10,11 +10,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestParentOfACall(t *testing.T) {
+func TestParentByDeadline(t *testing.T) {
 	start := time.Unix(1000, 0)
-	Convey("A call with the time of its parent is its parent's", t, func() {
+	Convey("A sub-call with the deadline of a run is attributed to that run", t, func() {
 		r := New()
-		r.points["b"] = 1
+		r.matchFractions["b"] = 1
 		runs := map[time.Duration]*Run{}
 		for _, left := range []time.Duration{300, 900, 910, 1500} {
 			runs[left] = &Run{Route: "a"}
@@ -27,7 +27,7 @@
 		So(r.Parent("b", start.Add(909*time.Millisecond)), ShouldEqual, runs[1500])
 		So(r.Len(), ShouldEqual, 3)
 	})
-	Convey("A call that would end after all runs is nobody's", t, func() {
+	Convey("A sub-call that would end after all runs has no parent", t, func() {
 		r := New()
 		So(r.Parent("b", start), ShouldBeNil)
 		r.Begin(&Run{Route: "a"}, start)
@@ -35,16 +35,16 @@
 	})
 }
 
-func TestCallsWithAShorterTime(t *testing.T) {
-	// Uploads and range reads run on the same instance, and only the reads call on. The calls allow themselves less time than
-	// their parents have, so nothing in them points at one. Taken for the uploads' calls, those would be
-	// refused at the front when the service that only the reads use is full.
-	Convey("They are taken for calls of the routes that make them", t, func() {
+func TestCallsWithShorterDeadline(t *testing.T) {
+	// Guards against attributing sub-calls to runs that don't make them. Uploads and range reads run on the same instance, and only reads
+	// make sub-calls, with shorter timeouts than their parents have. Attributed to uploads, they would make the ingress reject uploads
+	// when the service that only reads use is saturated.
+	Convey("They are attributed to runs of the routes that make them", t, func() {
 		r := New()
 		rng := rand.New(rand.NewPCG(1, 2))
 		r.rand = rng.Float64
 		now := time.Unix(1000, 0)
-		right, all := 0, 0
+		correct, total := 0, 0
 		for n := range 4000 {
 			now = now.Add(10 * time.Millisecond)
 			runs := []*Run{}
@@ -60,33 +60,33 @@
 			}
 			got := r.Parent("history", now.Add(700*time.Millisecond))
 			if n > 1000 {
-				all++
+				total++
 				if got.Route == "read" {
-					right++
+					correct++
 				}
 			}
 			for _, run := range runs {
 				r.End(run, true)
 			}
 		}
-		So(float64(right)/float64(all), ShouldBeGreaterThan, 0.95)
+		So(float64(correct)/float64(total), ShouldBeGreaterThan, 0.95)
 		calls := r.Calls()
 		So(calls["read"]["history"], ShouldBeGreaterThan, 0.2)
 		So(calls["upload"]["history"], ShouldBeLessThan, 0.1)
 	})
 }
 
-func TestManyRoutes(t *testing.T) {
-	// A configuration brings more pairs of routes than are kept, and all counts begin anew while runs are at work. The call
-	// that such a run makes next would be divided by no runs at all, and every front would take its route's way for endless.
-	Convey("Calls in a run are always a number", t, func() {
+func TestRoutePairsAreBounded(t *testing.T) {
+	// Guards against a division by zero: the configuration brings more pairs of routes than are kept, and all counts are cleared while
+	// runs are active. The next sub-call of such a run would be divided by no runs, and the call chain of its route would look endless.
+	Convey("The number of sub-calls per run is always finite", t, func() {
 		r := New()
 		start := time.Unix(1000, 0)
-		for n := range 2 * mostPairs {
+		for n := range 2 * maxRoutePairs {
 			run := &Run{Route: fmt.Sprint("from", n)}
 			to := fmt.Sprint("to", n)
 			r.Begin(run, start.Add(time.Second))
-			r.points[to] = 1
+			r.matchFractions[to] = 1
 			r.Parent(to, start.Add(time.Second))
 			r.End(run, true)
 			made, known := r.Calls()[run.Route][to]
@@ -100,70 +100,71 @@
 
 func TestFailedCalls(t *testing.T) {
 	start := time.Unix(1000, 0)
-	begun := func(r *Runs, route string) *Run {
+	begin := func(r *Runs, route string) *Run {
 		run := &Run{Route: route}
 		r.Begin(run, start.Add(time.Second))
 		return run
 	}
-	calling := func() *Runs {
+	newRuns := func() *Runs {
 		r := New()
-		r.calls[pair{"read", "leg"}] = 1
+		r.callerShares[routePair{"read", "leg"}] = 1
 		return r
 	}
-	// Guards against taking a run for one that failed by itself, and sending it and its calls again, since its call was taken for that of another.
-	Convey("A failed call explains the failure of another run that makes such calls, and of one only", t, func() {
-		r := calling()
-		one, other := begun(r, "read"), begun(r, "read")
+	// Guards against taking a run that failed because of a sub-call for one that failed by itself, and retrying it, since its sub-call was
+	// attributed to another run.
+	Convey("A failed sub-call accounts for one failed run, even one that it was not attributed to", t, func() {
+		r := newRuns()
+		one, other := begin(r, "read"), begin(r, "read")
 		r.CallFailed(one, "leg", start)
 		So(r.CausedByCall(other, start.Add(time.Millisecond)), ShouldBeTrue)
 		So(r.CausedByCall(one, start.Add(time.Millisecond)), ShouldBeFalse)
 	})
-	Convey("The run that it was taken for goes first", t, func() {
-		r := calling()
-		one, other := begun(r, "read"), begun(r, "read")
+	Convey("The run that it was attributed to takes precedence", t, func() {
+		r := newRuns()
+		one, other := begin(r, "read"), begin(r, "read")
 		r.CallFailed(other, "leg", start)
 		r.CallFailed(one, "leg", start)
 		So(r.CausedByCall(one, start), ShouldBeTrue)
 		So(r.CausedByCall(other, start), ShouldBeTrue)
 	})
-	// Guards against an instance that fails by itself and goes unnoticed behind the failures of calls.
-	Convey("It explains no failure of a route that makes no such calls, and none later on", t, func() {
-		r := calling()
-		read, upload := begun(r, "read"), begun(r, "upload")
+	// Guards against an instance whose own failures are hidden by those of its sub-calls.
+	Convey("It accounts for no failure of a route that makes no such sub-calls, and for none later on", t, func() {
+		r := newRuns()
+		read, upload := begin(r, "read"), begin(r, "upload")
 		r.CallFailed(read, "leg", start)
 		So(r.CausedByCall(upload, start), ShouldBeFalse)
-		So(r.CausedByCall(read, start.Add(2*failureTime)), ShouldBeFalse)
+		So(r.CausedByCall(read, start.Add(2*failureTTL)), ShouldBeFalse)
 	})
-	Convey("Failures that nobody asks about are bounded", t, func() {
-		r := calling()
-		for range 10 * mostFailures {
+	Convey("The number of kept failures is bounded", t, func() {
+		r := newRuns()
+		for range 10 * maxFailures {
 			r.CallFailed(nil, "leg", start)
 		}
-		So(len(r.failures), ShouldEqual, mostFailures)
+		So(len(r.failures), ShouldEqual, maxFailures)
 	})
 }
 
-func TestCallsOfRunsThatFail(t *testing.T) {
-	// Guards against requests that look cheap while they fail: a run that ends with its first failed call has made one of its four, and
-	// the fleet begins four times as many of them as it can end.
+func TestCallsOfFailedRuns(t *testing.T) {
+	// Guards against underestimating the cost of requests that fail: a run that ends at its first failed sub-call has made one of its
+	// four, and the fleet would admit four times as many requests as it can finish.
 	start := time.Unix(1000, 0)
-	play := func(r *Runs, count, calls int, well bool) {
+	simulate := func(r *Runs, count, calls int, succeeded bool) {
 		for range count {
 			run := &Run{Route: "read"}
 			r.Begin(run, start.Add(time.Second))
-			r.points["leg"] = 1
+			r.matchFractions["leg"] = 1
 			for range calls {
 				r.Parent("leg", start.Add(time.Second))
 			}
-			r.End(run, well)
+			r.End(run, succeeded)
 		}
 	}
-	Convey("Runs that ended well tell how many calls one makes, and any where there are none", t, func() {
+	Convey("Sub-calls are counted over successful runs, and over all runs while none has succeeded", t, func() {
 		r := New()
-		play(r, 20, 1, false)
+		simulate(r, 20, 1, false)
 		So(r.Calls()["read"]["leg"], ShouldEqual, 1)
-		play(r, 20, 4, true)
-		play(r, 2000, 1, false)
+		simulate(r, 20, 4, true)
+		simulate(r, 2000, 1, false)
 		So(r.Calls()["read"]["leg"], ShouldEqual, 4)
 	})
 }
