--- a/internal/decide/mechanism/doc.go
+++ b/internal/decide/mechanism/doc.go
@@ -1,3 +1,3 @@
-// Package mechanism names the decisions that can be switched off one by one, to measure what each is worth or to rule one
-// out during an incident.
+// Package mechanism names the decisions that can be disabled one by one, to measure the effect of each or to rule one out during an
+// incident.
 package mechanism
--- a/internal/decide/mechanism/mechanism.go
+++ b/internal/decide/mechanism/mechanism.go
@@ -11,48 +11,49 @@
 
 //go:generate stringer -type=Mechanism -linecomment
 
-// Mechanism is one decision that can be switched off.
+// Mechanism is a decision that can be disabled.
 type Mechanism uint8
 
 const (
-	// Plan works out at the collector which part of each lane is begun; without it, fronts go by what their answers bring back.
+	// Plan computes the admitted fraction of each class at the collector; without it, ingress daemons shed load by the saturation that
+	// responses report.
 	Plan Mechanism = iota // plan
-	// PlannedRetries makes the plan count the repeats that requests need where part of them come to nothing.
+	// PlannedRetries makes the plan allow for the retries of requests that an instance doesn't run.
 	PlannedRetries // plannedRepeats
-	// LentRetries lets daemons repeat what others may and don't.
+	// LentRetries grants daemons the retry rate that other daemons leave unused.
 	LentRetries // lentRepeats
-	// RetryDeclined offers requests again to instances that declined them.
+	// RetryDeclined retries requests at instances that declined them.
 	RetryDeclined // offersAgain
-	// CallFailures keeps requests from being repeated whose calls failed.
+	// CallFailures keeps requests from being retried whose failure was caused by a failed sub-call.
 	CallFailures // callFailures
-	// RankedSubcalls queues calls by the rank of the callers' requests; without it, all calls go first.
+	// RankedSubcalls queues sub-calls by the rank of the caller's request; without it, all sub-calls have priority over other requests.
 	RankedSubcalls // rankedCalls
-	// Zones keeps requests in their availability zone while their time allows it.
+	// Zones keeps requests in their availability zone while their remaining time allows it.
 	Zones // zones
-	// FaultAvoidance sends less to instances that fail or turn away requests.
+	// FaultAvoidance sends fewer requests to instances that fail or decline them.
 	FaultAvoidance // faults
-	// TargetedRetryAfter tells refused callers to come back within their route's target.
+	// TargetedRetryAfter keeps the Retry-After delay of rejected requests within their route's latency target.
 	TargetedRetryAfter // timelyReturns
 )
 
 const last = TargetedRetryAfter
 
-// Names returns the names of all mechanisms.
+// Names returns the names of all mechanisms, in order of declaration.
 func Names() []string {
-	var all []string
+	var names []string
 	for m := Plan; m <= last; m++ {
-		all = append(all, m.String())
+		names = append(names, m.String())
 	}
-	return all
+	return names
 }
 
-// Set is some mechanisms; the zero value has none.
+// Set is a set of mechanisms; the zero value is empty.
 type Set struct{ bits uint32 }
 
 // SetOf returns the set of the mechanisms.
-func SetOf(all ...Mechanism) Set {
+func SetOf(mechanisms ...Mechanism) Set {
 	var s Set
-	for _, m := range all {
+	for _, m := range mechanisms {
 		s.bits |= 1 << m
 	}
 	return s
@@ -61,7 +62,7 @@
 // Has reports whether the mechanism is in the set.
 func (s Set) Has(m Mechanism) bool { return s.bits&(1<<m) != 0 }
 
-// Parse reads names that are separated by commas; the error tells the names that exist.
+// Parse reads a comma-separated list of names; the error lists the known ones.
 func Parse(names string) (Set, error) {
 	var s Set
 	for name := range strings.SplitSeq(names, ",") {
@@ -71,14 +72,14 @@
 		}
 		m, ok := enum.Parse(name, last)
 		if !ok {
-			return Set{}, errors.Errorf("%q is no mechanism; there are %s", name, strings.Join(Names(), ", "))
+			return Set{}, errors.Errorf("unknown mechanism %q; known are %s", name, strings.Join(Names(), ", "))
 		}
 		s.bits |= 1 << m
 	}
 	return s, nil
 }
 
-// String returns the names, separated by commas.
+// String returns the names as a comma-separated list.
 func (s Set) String() string {
 	names := Names()
 	names = slices.DeleteFunc(names, func(name string) bool {
--- a/internal/decide/mechanism/mechanism_test.go
+++ b/internal/decide/mechanism/mechanism_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestParse(t *testing.T) {
-	Convey("Names are read, in any order, and written back", t, func() {
+	Convey("Names are read in any order and written in order of declaration", t, func() {
 		s, err := Parse("zones, plan,")
 		So(err, ShouldBeNil)
 		So(s, ShouldResemble, SetOf(Plan, Zones))
@@ -15,14 +15,14 @@
 		So(s.Has(FaultAvoidance), ShouldBeFalse)
 		So(s.String(), ShouldEqual, "plan,zones")
 	})
-	Convey("None is none", t, func() {
+	Convey("An empty list is the empty set", t, func() {
 		s, err := Parse("")
 		So(err, ShouldBeNil)
 		So(s, ShouldResemble, Set{})
 		So(s.String(), ShouldEqual, "")
 	})
-	// Guards against an operator who believes to have switched off what goes on.
-	Convey("A name that isn't known is told with those that are", t, func() {
+	// Guards against a misspelled name being ignored, so that an operator believes a mechanism disabled that is still active.
+	Convey("An unknown name is an error that lists the known ones", t, func() {
 		_, err := Parse("plan,zone")
 		So(err.Error(), ShouldContainSubstring, `"zone"`)
 		So(err.Error(), ShouldContainSubstring, "lentRepeats")
