--- a/internal/decide/admission/differential_test.go
+++ b/internal/decide/admission/differential_test.go
@@ -11,8 +11,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// semaphore is the naive gate: a fixed number of slots and a queue in order of
-// arrival, which knows neither priorities nor organisations.
+// semaphore is the naive gate: a fixed number of slots and a first-come, first-served queue without priorities or organisations.
 type semaphore struct {
 	limit   int
 	running int
@@ -42,32 +41,33 @@
 	}
 }
 
-// recorder counts the decisions that a waiting ticket was told.
+// recorder records the decisions that a waiting ticket received.
 type recorder struct {
-	told []Decision
+	decisions []Decision
 }
 
 // Decide implements Waiter.
-func (r *recorder) Decide(d Decision) { r.told = append(r.told, d) }
+func (r *recorder) Decide(d Decision) { r.decisions = append(r.decisions, d) }
 
-type tracked struct {
+// request is one ticket with its state as the test sees it.
+type request struct {
 	ticket   *Ticket
 	recorder *recorder
 	waited   bool
 	running  bool
 }
 
-// check reports what is wrong with the gate after a step.
-func check(g *Gate, all []*tracked) string {
+// invariantViolation returns the invariant that the gate breaks after a step, or an empty string.
+func invariantViolation(g *Gate, all []*request) string {
 	running := 0
 	for _, t := range all {
 		switch {
-		case len(t.recorder.told) > 1:
-			return "a ticket was told twice"
-		case !t.waited && len(t.recorder.told) > 0:
-			return "a ticket that did not wait was told"
-		case len(t.recorder.told) == 1 && t.recorder.told[0].Verdict == Refuse && t.recorder.told[0].RetryAfter <= 0:
-			return "a refusal without a time to come back"
+		case len(t.recorder.decisions) > 1:
+			return "a ticket received two decisions"
+		case !t.waited && len(t.recorder.decisions) > 0:
+			return "a ticket that did not wait received a decision"
+		case len(t.recorder.decisions) == 1 && t.recorder.decisions[0].Verdict == Refuse && t.recorder.decisions[0].RetryAfter <= 0:
+			return "a refusal without a Retry-After delay"
 		}
 		if t.running {
 			running++
@@ -76,22 +76,22 @@
 	load := g.Load()
 	switch {
 	case running != load.InFlight:
-		return fmt.Sprintf("%d are running, the gate says %d", running, load.InFlight)
+		return fmt.Sprintf("%d are running, the gate reports %d", running, load.InFlight)
 	case running > load.Limit:
 		return fmt.Sprintf("%d are running with a limit of %d", running, load.Limit)
 	case load.Queued > 0 && running < load.Limit:
-		return fmt.Sprintf("%d wait although %d of %d slots are taken", load.Queued, running, load.Limit)
+		return fmt.Sprintf("%d wait although only %d of %d slots are in use", load.Queued, running, load.Limit)
 	}
 	return ""
 }
 
-// refresh takes over what the waiting tickets were told.
-func refresh(all []*tracked) {
+// applyDecisions updates the waiting requests that were given a slot.
+func applyDecisions(all []*request) {
 	for _, t := range all {
-		if t.waited && len(t.recorder.told) == 1 && t.recorder.told[0].Verdict == Run {
+		if t.waited && len(t.recorder.decisions) == 1 && t.recorder.decisions[0].Verdict == Run {
 			t.waited = false
 			t.running = true
-			t.recorder.told = nil
+			t.recorder.decisions = nil
 		}
 	}
 }
@@ -102,27 +102,27 @@
 		g := New(limit.NewFixed(slots), WithLength(rapid.IntRange(1, 20).Draw(t, "length")))
 		naive := &semaphore{limit: slots}
 		now := time.Unix(0, 0)
-		var all []*tracked
-		ran, turns := 0, rapid.IntRange(1, 200).Draw(t, "steps")
-		for range turns {
+		var all []*request
+		ran, steps := 0, rapid.IntRange(1, 200).Draw(t, "steps")
+		for range steps {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * time.Millisecond)
-			for _, each := range all {
-				if each.ticket.item.Queued() && now.After(each.ticket.StartBy()) {
-					if d, left := g.Leave(now, each.ticket); !left || d.RetryAfter <= 0 {
+			for _, r := range all {
+				if r.ticket.item.Queued() && now.After(r.ticket.StartBy()) {
+					if d, left := g.Leave(now, r.ticket); !left || d.RetryAfter <= 0 {
 						t.Fatalf("leaving: %v %v", d, left)
 					}
-					each.waited = false
+					r.waited = false
 				}
 			}
 			if rapid.IntRange(0, 2).Draw(t, "do") > 0 {
-				each := &tracked{recorder: &recorder{}}
-				each.ticket = &Ticket{
+				r := &request{recorder: &recorder{}}
+				r.ticket = &Ticket{
 					Organisation: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "organisation")), Operation: "op", Weight: 1,
-					Priority: call.Priority(rapid.IntRange(0, 2).Draw(t, "priority")), Deadline: now.Add(10 * time.Second), Waiter: each.recorder,
+					Priority: call.Priority(rapid.IntRange(0, 2).Draw(t, "priority")), Deadline: now.Add(10 * time.Second), Waiter: r.recorder,
 				}
-				all = append(all, each)
-				d := g.Arrive(now, each.ticket)
-				each.running, each.waited = d.Verdict == Run, d.Verdict == Wait
+				all = append(all, r)
+				d := g.Arrive(now, r.ticket)
+				r.running, r.waited = d.Verdict == Run, d.Verdict == Wait
 				naive.arrive(now.Add(DefaultWait))
 			} else if done := firstRunning(all); done != nil {
 				done.running = false
@@ -130,18 +130,18 @@
 				g.Settle(now, done.ticket, Result{Own: time.Millisecond})
 				naive.settle(now)
 			}
-			refresh(all)
-			if fault := check(g, all); fault != "" {
-				t.Fatal(fault)
+			applyDecisions(all)
+			if violation := invariantViolation(g, all); violation != "" {
+				t.Fatal(violation)
 			}
 		}
 		if ran > naive.ran {
-			t.Fatalf("%d ran, more than the %d that a semaphore lets through", ran, naive.ran)
+			t.Fatalf("%d ran, more than the %d that a semaphore admits", ran, naive.ran)
 		}
 	})
 }
 
-func firstRunning(all []*tracked) *tracked {
+func firstRunning(all []*request) *request {
 	for _, t := range all {
 		if t.running {
 			return t
--- a/internal/decide/admission/doc.go
+++ b/internal/decide/admission/doc.go
@@ -1,2 +1,2 @@
-// Package admission decides which requests an upstream runs now, which wait and which are refused.
+// Package admission decides which requests an upstream runs now, which wait in its queue and which are refused.
 package admission
--- a/internal/decide/admission/enter.go
+++ b/internal/decide/admission/enter.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// waiter hands the gate's decision to the goroutine that waits for it.
-type waiter chan Decision
+// chanWaiter passes the gate's decision to the goroutine that waits for it.
+type chanWaiter chan Decision
 
-// Decide never blocks: the channel has room for the one decision.
-func (w waiter) Decide(d Decision) { w <- d }
+// Decide never blocks: the channel has capacity for the one decision.
+func (w chanWaiter) Decide(d Decision) { w <- d }
 
-// Enter asks for a slot and waits for it as long as the ticket may: until its latest start, or until ctx ends. The ticket's
-// Waiter is set here.
+// Enter acquires a slot, and waits for one until the ticket's latest start or until ctx ends. It sets the ticket's Waiter.
 func (g *Gate) Enter(ctx context.Context, t *Ticket) Decision {
-	decided := make(waiter, 1)
+	decided := make(chanWaiter, 1)
 	t.Waiter = decided
 	d := g.Arrive(time.Now(), t)
 	if d.Verdict != Wait {
--- a/internal/decide/admission/gate.go
+++ b/internal/decide/admission/gate.go
@@ -10,23 +10,21 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Gate is the aggregate of one upstream's limit and queue.
+// Gate is the concurrency limit and the queue of one upstream.
 //
-// It is for an upstream whose callers ask for more than it can run, for longer
-// than a burst. Without it, work waits until its callers have gone, the
-// upstream then runs it for nobody, and the callers' repeats keep it so after
-// the cause is gone.
+// Designed for an upstream that is offered more than it can run for longer than a burst. Without a gate, requests queue until their
+// callers have given up, the upstream runs them for nobody, and the callers' retries keep it overloaded after the cause has passed.
 type Gate struct {
-	mu      sync.Mutex
-	limit   limit.Learner
-	queue   queue.Queue[*Ticket]
-	running int
-	held    latencies
-	back    *comeback.Schedule
+	mu         sync.Mutex
+	limit      limit.Learner
+	queue      queue.Queue[*Ticket]
+	running    int
+	holdTimes  holdTimes
+	retryAfter *comeback.Schedule
 
-	longestWait time.Duration
-	length      int
-	counts      Counts
+	maxWait   time.Duration
+	maxLength int
+	counts    Counts
 }
 
 // Counts are totals since the start, for metrics.
@@ -39,38 +37,38 @@
 	Shed    uint64
 }
 
-// Option sets one property of a gate.
+// Option configures a gate.
 type Option func(*Gate)
 
 const (
-	// DefaultWait bounds the queue in time: a longer wait helps nobody while another instance may have room.
+	// DefaultWait bounds the wait in the queue: a longer wait is of no use while another instance may have free slots.
 	DefaultWait = 250 * time.Millisecond
 	// DefaultLength bounds the queue's memory where waits are short.
 	DefaultLength = 1024
 )
 
-// WithQueue sets the order of service, a fair queue by default.
-func WithQueue(q queue.Queue[*Ticket]) Option { return func(g *Gate) { g.queue = q } }
+// WithQueue sets the order in which requests are served, a fair queue by default.
+func WithQueue(order queue.Queue[*Ticket]) Option { return func(g *Gate) { g.queue = order } }
 
-// WithWait sets the longest wait.
-func WithWait(d time.Duration) Option { return func(g *Gate) { g.longestWait = d } }
+// WithWait sets the maximum wait of requests whose ticket sets none.
+func WithWait(wait time.Duration) Option { return func(g *Gate) { g.maxWait = wait } }
 
-// WithLength sets how many requests may wait.
-func WithLength(n int) Option { return func(g *Gate) { g.length = n } }
+// WithLength sets the maximum number of waiting requests.
+func WithLength(requests int) Option { return func(g *Gate) { g.maxLength = requests } }
 
-// WithRand sets the source of jitter, numbers from 0 to 1.
-func WithRand(f func() float64) Option {
-	return func(g *Gate) { g.back = comeback.New(comeback.WithRand(f)) }
+// WithRand sets the random source of the Retry-After jitter, numbers from 0 up to below 1.
+func WithRand(random func() float64) Option {
+	return func(g *Gate) { g.retryAfter = comeback.New(comeback.WithRand(random)) }
 }
 
-// New returns a gate with the limit.
-func New(l limit.Learner, opts ...Option) *Gate {
+// New returns a gate with the concurrency limit of the learner.
+func New(learner limit.Learner, opts ...Option) *Gate {
 	g := &Gate{
-		limit:       l,
-		held:        latencies{operations: map[string]*holding{}},
-		back:        comeback.New(),
-		longestWait: DefaultWait,
-		length:      DefaultLength,
+		limit:      learner,
+		holdTimes:  holdTimes{byOperation: map[string]*holdTime{}},
+		retryAfter: comeback.New(),
+		maxWait:    DefaultWait,
+		maxLength:  DefaultLength,
 	}
 	for _, opt := range opts {
 		opt(g)
@@ -81,51 +79,50 @@
 	return g
 }
 
-// Arrive decides on a new request: run now, wait, or a refusal that is final here.
+// Arrive decides on a new request: it runs now, waits, or is refused for good at this gate.
 func (g *Gate) Arrive(now time.Time, t *Ticket) Decision {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	expected := g.held.expect(t.Operation, now)
+	expected := g.holdTimes.estimate(t.Operation, now)
 	if now.Add(expected).After(t.Deadline) || !now.Before(t.Deadline) {
 		return g.refuse(now, call.DeadlineTooNear)
 	}
 	if g.running < g.limit.Limit() && g.queue.Len() == 0 {
-		g.begin(now, t)
+		g.start(now, t)
 		return Decision{Verdict: Run}
 	}
 	return g.enqueue(now, t, expected)
 }
 
-// enqueue lets the request wait if it is likely to start in time. The first in
-// an empty queue always may: the estimate could be wrong, and a gate that
-// trusted it alone might refuse everything.
+// enqueue lets the request wait if it is likely to start in time. The first request in an empty queue may always wait: the estimate
+// can be wrong, and a gate that relied on it alone might refuse everything.
 func (g *Gate) enqueue(now time.Time, t *Ticket, expected time.Duration) Decision {
-	t.startBy = earlier(t.Deadline.Add(-expected), now.Add(g.patience(t)))
+	t.startBy = earlier(t.Deadline.Add(-expected), now.Add(g.maxWaitOf(t)))
 	t.item = queue.Item[*Ticket]{
-		Value: t, Organisation: t.Organisation, Weight: t.Weight, Priority: t.Priority, Cost: g.held.cost(t.Operation),
+		Value: t, Organisation: t.Organisation, Weight: t.Weight, Priority: t.Priority, Cost: g.holdTimes.relativeCost(t.Operation),
 	}
 	wait := time.Duration(g.queue.Ahead(&t.item)) * g.interval()
 	if g.queue.Len() > 0 && now.Add(wait).After(t.startBy) {
 		return g.refuse(now, call.Overloaded)
 	}
-	if g.queue.Len() >= g.length && !g.evict(now, g.queue.Victim(&t.item)) {
+	if g.queue.Len() >= g.maxLength && !g.evict(now, g.queue.Victim(&t.item)) {
 		return g.refuse(now, call.Overloaded)
 	}
 	g.queue.Push(&t.item)
 	g.counts.Waited++
-	g.evictHopeless(now, t)
+	g.evictLastIfLate(now, t)
 	return Decision{Verdict: Wait}
 }
 
-// patience is how long the ticket may wait.
-func (g *Gate) patience(t *Ticket) time.Duration {
+// maxWaitOf returns how long the ticket may wait.
+func (g *Gate) maxWaitOf(t *Ticket) time.Duration {
 	if t.Patience > 0 {
 		return t.Patience
 	}
-	return g.longestWait
+	return g.maxWait
 }
 
-// evict gives a waiting request its final answer; false if there is none to give it to.
+// evict refuses a waiting request; it returns false if there is no victim.
 func (g *Gate) evict(now time.Time, victim *queue.Item[*Ticket]) bool {
 	if victim == nil {
 		return false
@@ -136,9 +133,9 @@
 	return true
 }
 
-// evictHopeless refuses the last of the waiting requests once what came before
-// it takes longer than it may wait: it would only be held back until its time is up.
-func (g *Gate) evictHopeless(now time.Time, arrival *Ticket) {
+// evictLastIfLate refuses the waiting request that is served last if it has a lower priority than the arrival and those before it
+// take longer than it may wait: otherwise it would be refused only at the end of its wait.
+func (g *Gate) evictLastIfLate(now time.Time, arrival *Ticket) {
 	last := g.queue.Last()
 	if last == nil || last.Priority >= arrival.Priority {
 		return
@@ -149,8 +146,8 @@
 	}
 }
 
-// Leave ends the wait of a ticket whose time is up or whose caller has gone;
-// false means that its Waiter has been told already.
+// Leave ends the wait of a ticket that has expired or whose caller has given up; it returns false if its Waiter already has the
+// decision.
 func (g *Gate) Leave(now time.Time, t *Ticket) (Decision, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -162,7 +159,7 @@
 	return g.refuse(now, call.Overloaded), true
 }
 
-// Settle ends a run, learns from it and starts what waits.
+// Settle ends a run, learns from it and starts waiting requests.
 func (g *Gate) Settle(now time.Time, t *Ticket, r Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -177,59 +174,58 @@
 	if r.Shed {
 		g.counts.Shed++
 	} else {
-		g.held.learn(t.Operation, now.Sub(t.begun), now)
+		g.holdTimes.record(t.Operation, now.Sub(t.startedAt), now)
 	}
 	g.limit.Learn(now, limit.Sample{Operation: t.Operation, Latency: r.Own, InFlight: t.inFlight, Shed: r.Shed})
 }
 
-// startWaiting fills the free slots. A ticket that can't finish any more is
-// refused here rather than run, in case its timer is late.
+// startWaiting fills the free slots. A ticket that can no longer finish in time is refused rather than run, in case its timer is late.
 func (g *Gate) startWaiting(now time.Time) {
 	for g.running < g.limit.Limit() {
-		i := g.queue.Pop()
-		if i == nil {
+		item := g.queue.Pop()
+		if item == nil {
 			return
 		}
-		t := i.Value
+		t := item.Value
 		if now.After(t.startBy) {
 			g.counts.Expired++
 			t.Waiter.Decide(g.refuse(now, call.Overloaded))
 			continue
 		}
-		g.begin(now, t)
+		g.start(now, t)
 		t.Waiter.Decide(Decision{Verdict: Run})
 	}
 }
 
-func (g *Gate) begin(now time.Time, t *Ticket) {
+func (g *Gate) start(now time.Time, t *Ticket) {
 	g.running++
 	g.counts.Ran++
-	t.begun = now
+	t.startedAt = now
 	t.inFlight = g.running
 }
 
 func (g *Gate) refuse(now time.Time, reason call.Reason) Decision {
 	g.counts.Refused++
 	interval := g.interval()
-	room := time.Duration(g.queue.Len()+1) * interval
-	return Decision{Verdict: Refuse, Reason: reason, RetryAfter: g.back.Next(now, room, interval)}
+	queueTime := time.Duration(g.queue.Len()+1) * interval
+	return Decision{Verdict: Refuse, Reason: reason, RetryAfter: g.retryAfter.Next(now, queueTime, interval)}
 }
 
-// interval is the time between two starts while all slots are busy.
+// interval is the expected time between two starts while all slots are in use.
 func (g *Gate) interval() time.Duration {
-	return time.Duration(g.held.mean / float64(g.limit.Limit()) * float64(time.Second))
+	return time.Duration(g.holdTimes.meanSeconds / float64(g.limit.Limit()) * float64(time.Second))
 }
 
-// Load returns what the gate tells others with each answer.
+// Load returns the load that a host reports with each response.
 func (g *Gate) Load() call.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return call.Load{InFlight: g.running, Queued: g.queue.Len(), Limit: g.limit.Limit()}
 }
 
-// Fullness returns the part of the slots that is in use, and above 1 how long a request waits in units of the time given.
+// Fullness returns the saturation: the fraction of the slots in use, plus the expected wait in the queue in the given unit.
 //
-// The number of those that wait says little: ten that take 15 ms are through 20 slots before anyone notices, ten uploads are not.
+// The queue's length alone says little: ten requests of 15 ms pass through 20 slots unnoticed, ten uploads don't.
 func (g *Gate) Fullness(unit time.Duration) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/decide/admission/gate_test.go
+++ b/internal/decide/admission/gate_test.go
@@ -13,22 +13,23 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-type told chan Decision
+// decisionChan is a Waiter with capacity for one decision.
+type decisionChan chan Decision
 
-func (w told) Decide(d Decision) { w <- d }
+func (w decisionChan) Decide(d Decision) { w <- d }
 
-// outcome is what one caller saw.
+// outcome is the decision on one request and the time until its end.
 type outcome struct {
 	decision Decision
 	after    time.Duration
 }
 
-// ask sends one request through the gate and holds its slot for a time, as the daemon does.
-func ask(g *Gate, organisation, operation string, p call.Priority, timeout, work time.Duration) outcome {
-	begun := time.Now()
-	w := make(told, 1)
-	t := &Ticket{Organisation: organisation, Operation: operation, Weight: 1, Priority: p, Deadline: begun.Add(timeout), Waiter: w}
-	d := g.Arrive(begun, t)
+// send passes one request through the gate and holds its slot for the time of its work, as the daemon does.
+func send(g *Gate, organisation, operation string, p call.Priority, timeout, work time.Duration) outcome {
+	start := time.Now()
+	w := make(decisionChan, 1)
+	t := &Ticket{Organisation: organisation, Operation: operation, Weight: 1, Priority: p, Deadline: start.Add(timeout), Waiter: w}
+	d := g.Arrive(start, t)
 	if d.Verdict == Wait {
 		select {
 		case d = <-w:
@@ -44,11 +45,11 @@
 		time.Sleep(work)
 		g.Settle(time.Now(), t, Result{Own: work})
 	}
-	return outcome{d, time.Since(begun)}
+	return outcome{d, time.Since(start)}
 }
 
-// load is a stream of requests of one organisation.
-type load struct {
+// stream describes the requests of one organisation.
+type stream struct {
 	organisation string
 	priority     call.Priority
 	every        time.Duration
@@ -57,26 +58,27 @@
 	burst        int
 }
 
-type score struct {
-	sent, run, late int
-	backs           []time.Duration
+// counts sums up the outcomes of one stream.
+type counts struct {
+	sent, inTime, late int
+	retryAfters        []time.Duration
 }
 
-// drive runs the loads for a time in a bubble and scores each.
-func drive(t *testing.T, g *Gate, length time.Duration, loads []load) []score {
-	scores := make([]score, len(loads))
+// run sends the streams for a time on a fake clock and counts the outcomes of each.
+func run(t *testing.T, g *Gate, length time.Duration, streams []stream) []counts {
+	results := make([]counts, len(streams))
 	synctest.Test(t, func(*testing.T) {
 		var mu sync.Mutex
 		var all sync.WaitGroup
-		for at, l := range loads {
+		for i, s := range streams {
 			all.Go(func() {
-				for begun := time.Now(); time.Since(begun) < length; time.Sleep(l.every) {
-					for range max(l.burst, 1) {
+				for start := time.Now(); time.Since(start) < length; time.Sleep(s.every) {
+					for range max(s.burst, 1) {
 						all.Go(func() {
-							o := ask(g, l.organisation, l.organisation, l.priority, l.timeout, l.work)
+							o := send(g, s.organisation, s.organisation, s.priority, s.timeout, s.work)
 							mu.Lock()
 							defer mu.Unlock()
-							scores[at].add(o, l.timeout)
+							results[i].add(o, s.timeout)
 						})
 					}
 				}
@@ -84,43 +86,43 @@
 		}
 		all.Wait()
 	})
-	return scores
+	return results
 }
 
-func (s *score) add(o outcome, timeout time.Duration) {
+func (s *counts) add(o outcome, timeout time.Duration) {
 	s.sent++
 	switch {
 	case o.decision.Verdict == Run && o.after <= timeout:
-		s.run++
+		s.inTime++
 	case o.decision.Verdict == Run:
 		s.late++
 	default:
-		s.backs = append(s.backs, o.decision.RetryAfter)
+		s.retryAfters = append(s.retryAfters, o.decision.RetryAfter)
 	}
 }
 
-func (s *score) share() float64 { return float64(s.run) / float64(s.sent) }
+func (s *counts) fractionInTime() float64 { return float64(s.inTime) / float64(s.sent) }
 
 const ms = time.Millisecond
 
 func TestOutcomesUnderLoad(t *testing.T) {
 	// Ten slots of 10 ms serve one request a millisecond.
 	cases := []struct {
-		name  string
-		loads []load
-		// least is the share of each load that must run in time.
-		least []float64
-		most  []float64
+		name    string
+		streams []stream
+		// minFractions and maxFractions bound the fraction of each stream's requests that run in time.
+		minFractions []float64
+		maxFractions []float64
 	}{
 		{
-			"a burst of a whole queue time is served",
-			[]load{{"a", call.Standard, 2 * time.Second, 10 * ms, time.Second, 200}},
+			"a burst as long as the maximum wait is served",
+			[]stream{{"a", call.Standard, 2 * time.Second, 10 * ms, time.Second, 200}},
 			[]float64{1},
 			[]float64{1},
 		},
 		{
-			"skewed demand: one organisation at five times its share costs the others nothing",
-			[]load{
+			"skewed demand: one organisation at five times its share doesn't affect the others",
+			[]stream{
 				{"greedy", call.Standard, ms, 10 * ms, time.Second, 2},
 				{"b", call.Standard, 4 * ms, 10 * ms, time.Second, 1},
 				{"c", call.Standard, 4 * ms, 10 * ms, time.Second, 1},
@@ -130,7 +132,7 @@
 		},
 		{
 			"full saturation: an interactive request is shed after all others",
-			[]load{
+			[]stream{
 				{"a", call.Interactive, 2 * ms, 10 * ms, time.Second, 1},
 				{"a", call.Standard, ms, 10 * ms, time.Second, 1},
 				{"b", call.Background, ms, 10 * ms, time.Second, 1},
@@ -139,8 +141,8 @@
 			[]float64{1, 0.6, 0.1},
 		},
 		{
-			"long and short work of equal organisations: the short is served",
-			[]load{
+			"long and short requests of organisations with equal weights: the short ones are served",
+			[]stream{
 				{"files", call.Standard, 100 * ms, 200 * ms, 2 * time.Second, 10},
 				{"lookups", call.Standard, 4 * ms, 10 * ms, time.Second, 1},
 			},
@@ -149,47 +151,47 @@
 		},
 	}
 	for _, c := range cases {
-		scores := drive(t, New(limit.NewFixed(10)), 10*time.Second, c.loads)
+		results := run(t, New(limit.NewFixed(10)), 10*time.Second, c.streams)
 		Convey(c.name, t, func() {
-			for i, s := range scores {
-				So(s.share(), ShouldBeGreaterThanOrEqualTo, c.least[i])
-				So(s.share(), ShouldBeLessThanOrEqualTo, c.most[i])
+			for i, s := range results {
+				So(s.fractionInTime(), ShouldBeGreaterThanOrEqualTo, c.minFractions[i])
+				So(s.fractionInTime(), ShouldBeLessThanOrEqualTo, c.maxFractions[i])
 				So(s.late, ShouldEqual, 0)
 			}
 		})
 	}
 }
 
-// Refused callers that all hear the same time come back together, and the surge
-// that had passed starts again; users see one outage follow the other.
-func TestComeBackTimesAreSpread(t *testing.T) {
-	scores := drive(t, New(limit.NewFixed(10)), time.Second, []load{{"a", call.Standard, 2 * time.Second, 10 * ms, time.Second, 1500}})
-	Convey("Those refused in one burst are told times spread over what they would take", t, func() {
-		// The first 10 run; until the first run ends nothing is known of the pace, so the queue takes what it can hold.
-		backs := scores[0].backs
-		So(len(backs), ShouldBeGreaterThan, 200)
-		distinct, latestBack := map[time.Duration]bool{}, time.Duration(0)
-		for _, b := range backs {
-			distinct[b/(10*ms)] = true
-			latestBack = max(latestBack, b)
-			So(b, ShouldBeBetweenOrEqual, comeback.Soonest, comeback.Latest)
+// Guards against synchronised retries: refused callers that all receive the same delay retry together, and the surge that had passed
+// starts again, so users see one outage follow the other.
+func TestRetryAfterIsSpread(t *testing.T) {
+	results := run(t, New(limit.NewFixed(10)), time.Second, []stream{{"a", call.Standard, 2 * time.Second, 10 * ms, time.Second, 1500}})
+	Convey("The Retry-After delays of one burst are spread over the time that its requests would take", t, func() {
+		// The first 10 run; until the first run ends the hold time is unknown, so the queue is filled to its maximum length.
+		retryAfters := results[0].retryAfters
+		So(len(retryAfters), ShouldBeGreaterThan, 200)
+		distinct, latest := map[time.Duration]bool{}, time.Duration(0)
+		for _, retryAfter := range retryAfters {
+			distinct[retryAfter/(10*ms)] = true
+			latest = max(latest, retryAfter)
+			So(retryAfter, ShouldBeBetweenOrEqual, comeback.Soonest, comeback.Latest)
 		}
 		So(len(distinct), ShouldBeGreaterThan, 20)
 	})
 }
 
-// The upstream stalls, callers give up, and what the gate last saw is a latency
-// beyond every deadline. Refusing on that forever would turn a pause into an outage.
-func TestRecoversAfterSlowTime(t *testing.T) {
-	Convey("Within 2 s of the end of a slow time requests run again", t, func() {
+// Guards against a pause that becomes an outage: the upstream stalls, callers give up, and the last observed hold times exceed every
+// deadline. A gate that kept refusing on them would never learn that the upstream has recovered.
+func TestRecoversAfterSlowdown(t *testing.T) {
+	Convey("Requests run again within 2 s of the end of a slowdown", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			g := New(limit.NewFixed(2))
 			for range 20 {
-				ask(g, "a", "op", call.Standard, 10*time.Second, 3*time.Second)
+				send(g, "a", "op", call.Standard, 10*time.Second, 3*time.Second)
 			}
 			ok := 0
-			for begun := time.Now(); time.Since(begun) < 2*time.Second; time.Sleep(20 * ms) {
-				if ask(g, "a", "op", call.Standard, 500*ms, 10*ms).decision.Verdict == Run {
+			for start := time.Now(); time.Since(start) < 2*time.Second; time.Sleep(20 * ms) {
+				if send(g, "a", "op", call.Standard, 500*ms, 10*ms).decision.Verdict == Run {
 					ok++
 				}
 			}
--- a/internal/decide/admission/hotpath_test.go
+++ b/internal/decide/admission/hotpath_test.go
@@ -14,9 +14,10 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-type ignore struct{}
+// discardWaiter discards the decision.
+type discardWaiter struct{}
 
-func (ignore) Decide(admission.Decision) {}
+func (discardWaiter) Decide(admission.Decision) {}
 
 func organisations(n int) []string {
 	names := make([]string, n)
@@ -26,57 +27,57 @@
 	return names
 }
 
-// BenchmarkAdmitPlaceSettle is all decisions for one request that finds a free slot.
+// BenchmarkAdmitPlaceSettle measures all decisions for one request that finds a free slot.
 func BenchmarkAdmitPlaceSettle(b *testing.B) {
-	for _, o := range []int{8, 1_000, 10_000} {
-		for _, n := range []int{4, 400} {
-			b.Run(fmt.Sprintf("organisations=%d/instances=%d", o, n), func(b *testing.B) {
-				names, hosts := organisations(o), make([]lists.Host, n)
+	for _, organisationCount := range []int{8, 1_000, 10_000} {
+		for _, hostCount := range []int{4, 400} {
+			b.Run(fmt.Sprintf("organisations=%d/instances=%d", organisationCount, hostCount), func(b *testing.B) {
+				names, hosts := organisations(organisationCount), make([]lists.Host, hostCount)
 				for i := range hosts {
 					hosts[i] = lists.Host{Host: fmt.Sprintf("host-%d", i), Service: "s", Zone: string(rune('a' + i%3))}
 				}
 				gate, placer := admission.New(limit.New(limit.Gradient, 64)), placing.New("a")
-				needs, doors := budget.NewNeeds(), pressure.New()
+				needs, throttles := budget.NewNeeds(), pressure.New()
 				now, account := time.Unix(0, 0), budget.New(32)
 				var t admission.Ticket
 				b.ReportAllocs()
 				for i := range b.N {
 					now = now.Add(100 * time.Microsecond)
-					name := names[i%o]
-					doors.Admit(now, name, "op")
+					name := names[i%organisationCount]
+					throttles.Admit(now, name, "op")
 					runs, _ := account.Draw(needs.Expect("op", 0))
-					place, _ := placer.Pick(now, "s", hosts, nil)
-					t = admission.Ticket{Organisation: name, Operation: "op", Weight: 1, Deadline: now.Add(time.Second), Waiter: ignore{}}
+					placement, _ := placer.Pick(now, "s", hosts, nil)
+					t = admission.Ticket{Organisation: name, Operation: "op", Weight: 1, Deadline: now.Add(time.Second), Waiter: discardWaiter{}}
 					gate.Arrive(now, &t)
 					gate.Settle(now, &t, admission.Result{Own: time.Millisecond})
-					placer.Settle(now, place, "op", placing.Served, gate.Load())
+					placer.Settle(now, placement, "op", placing.Served, gate.Load())
 					account.Settle(runs, runs)
 					needs.Learn("op", runs, 1, true)
-					doors.Report(now, name, "op", 0, 0)
+					throttles.Report(now, name, "op", 0, 0)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkQueued is the gate alone for one request that waits in a queue of 512.
+// BenchmarkQueued measures only the gate, for one request that waits in a queue of 512.
 func BenchmarkQueued(b *testing.B) {
 	const waiting = 512
-	for _, o := range []int{8, 1_000, 10_000} {
-		b.Run(fmt.Sprintf("organisations=%d", o), func(b *testing.B) {
-			names := organisations(o)
+	for _, organisationCount := range []int{8, 1_000, 10_000} {
+		b.Run(fmt.Sprintf("organisations=%d", organisationCount), func(b *testing.B) {
+			names := organisations(organisationCount)
 			gate := admission.New(limit.NewFixed(1), admission.WithWait(time.Hour))
 			now := time.Unix(0, 0)
 			tickets := make([]admission.Ticket, waiting+2)
 			served := make(chan *admission.Ticket, waiting+2)
 			waiters := make([]admission.Waiter, len(tickets))
 			for i := range tickets {
-				waiters[i] = started{&tickets[i], served}
+				waiters[i] = servedWaiter{&tickets[i], served}
 			}
 			arrive := func(at, name int) {
 				t := &tickets[at]
 				*t = admission.Ticket{
-					Organisation: names[name%o], Operation: "op", Weight: 1,
+					Organisation: names[name%organisationCount], Operation: "op", Weight: 1,
 					Deadline: now.Add(time.Hour), Priority: call.Priority(name % call.Priorities),
 				}
 				t.Waiter = waiters[at]
@@ -102,9 +103,10 @@
 	}
 }
 
-type started struct {
+// servedWaiter sends its ticket to a channel when the ticket is given a slot.
+type servedWaiter struct {
 	ticket *admission.Ticket
 	served chan *admission.Ticket
 }
 
-func (s started) Decide(admission.Decision) { s.served <- s.ticket }
+func (s servedWaiter) Decide(admission.Decision) { s.served <- s.ticket }
