--- a/internal/decide/limit/doc.go
+++ b/internal/decide/limit/doc.go
@@ -1,2 +1,2 @@
-// Package limit learns how many requests an upstream runs well at once.
+// Package limit learns how many requests an upstream can run at once without queueing them inside.
 package limit
--- a/internal/decide/limit/kind.go
+++ b/internal/decide/limit/kind.go
@@ -8,37 +8,37 @@
 
 //go:generate stringer -type=Kind -linecomment
 
-// Kind names a way to find the limit.
+// Kind is an algorithm that sets the limit.
 type Kind uint8
 
 const (
 	// Gradient compares latency with the low-load baseline of each operation.
 	Gradient Kind = iota // gradient
-	// AIMD adds one while all is well and cuts by a tenth after a sign of overload.
+	// AIMD adds one while there is no sign of overload and lowers the limit by a tenth after one.
 	AIMD // aimd
-	// Fixed never moves.
+	// Fixed never changes the limit.
 	Fixed // fixed
 )
 
-// ParseKind returns the kind with the given name, or false.
+// ParseKind returns the kind with the given name; false if there is none.
 func ParseKind(name string) (Kind, bool) { return enum.Parse(name, Fixed) }
 
-// Sample is what one finished run tells of the upstream.
+// Sample is the measurement of one finished run.
 type Sample struct {
 	Operation string
-	// Latency is the upstream's own time, without its calls to other services.
+	// Latency is the upstream's own time, without its sub-calls.
 	Latency time.Duration
-	// InFlight is the number of runs when this one began, itself included.
+	// InFlight is the number of runs when this one began, including itself.
 	InFlight int
 	// Shed means that the upstream declined the run.
 	Shed bool
 }
 
-// Learner holds the limit; it is used by one goroutine at a time.
+// Learner holds the limit; it isn't safe for concurrent use.
 type Learner interface {
 	// Limit returns how many requests may run at once, at least 1.
 	Limit() int
-	// Learn takes in one finished run.
+	// Learn records one finished run and may change the limit.
 	Learn(now time.Time, s Sample)
 }
 
@@ -54,13 +54,13 @@
 	}
 }
 
-// FixedLearner keeps the limit that it was given.
+// FixedLearner keeps a constant limit.
 type FixedLearner int
 
-// NewFixed returns a learner that never moves.
+// NewFixed returns a learner with a constant limit.
 func NewFixed(limit int) FixedLearner { return FixedLearner(max(limit, 1)) }
 
-// Limit returns the limit that was given.
+// Limit returns the constant limit.
 func (f FixedLearner) Limit() int { return int(f) }
 
 // Learn does nothing.
--- a/internal/decide/limit/window.go
+++ b/internal/decide/limit/window.go
@@ -2,52 +2,52 @@
 
 import "time"
 
-// window sums the samples of a short time, so that one slow run moves nothing.
+// window sums up the samples between two changes of the limit, so that one slow run changes nothing.
 type window struct {
-	begun    time.Time
-	samples  int
-	ratios   float64
-	peak     int
-	sheds    int
-	shedFrom int
+	startedAt       time.Time
+	samples         int
+	ratioSum        float64
+	peakInFlight    int
+	sheds           int
+	minShedInFlight int
 }
 
 const (
-	// windowTime is the least time between two changes of the limit; a 2 s recovery has room for 20 of them.
-	windowTime = 100 * time.Millisecond
-	// windowSamples makes the mean of exponentially spread latencies good to about a fifth.
-	windowSamples = 20
-	// windowLongest ends a window with few samples, so that a slow upstream is noticed too.
-	windowLongest = time.Second
+	// minWindowTime is the minimum time between two changes of the limit, which allows 20 changes in a recovery of 2 s.
+	minWindowTime = 100 * time.Millisecond
+	// minWindowSamples gives the mean of exponentially distributed latencies a standard error of about a fifth.
+	minWindowSamples = 20
+	// maxWindowTime ends a window with few samples, so that a slow upstream is noticed too.
+	maxWindowTime = time.Second
 )
 
 func (w *window) add(s Sample, ratio float64) {
-	w.peak = max(w.peak, s.InFlight)
+	w.peakInFlight = max(w.peakInFlight, s.InFlight)
 	if s.Shed {
-		if w.sheds == 0 || s.InFlight < w.shedFrom {
-			w.shedFrom = s.InFlight
+		if w.sheds == 0 || s.InFlight < w.minShedInFlight {
+			w.minShedInFlight = s.InFlight
 		}
 		w.sheds++
 		return
 	}
 	w.samples++
-	w.ratios += ratio
+	w.ratioSum += ratio
 }
 
-// busy reports whether the limit was nearly used up. It is the whole number that
-// may run at once: measured against a part more, a limit of 2.6 that lets
-// two run would never count as used, and an upstream would stay at it for good.
-func (w *window) busy(limit int) bool { return float64(w.peak) >= float64(limit)*busyShare }
+// busy reports whether the limit was nearly used up. It compares with the whole number of requests that may run: a limit of 2.6 lets two
+// run, and compared with the fraction included it would never count as used, so the limit would never grow.
+func (w *window) busy(limit int) bool { return float64(w.peakInFlight) >= float64(limit)*busyFraction }
 
-func (w *window) ended(now time.Time, samples int) bool {
-	if w.begun.IsZero() {
-		w.begun = now
+// ended reports whether the window is long enough to decide on.
+func (w *window) ended(now time.Time, minSamples int) bool {
+	if w.startedAt.IsZero() {
+		w.startedAt = now
 	}
-	elapsed := now.Sub(w.begun)
-	if elapsed < windowTime {
+	elapsed := now.Sub(w.startedAt)
+	if elapsed < minWindowTime {
 		return false
 	}
-	return w.samples+w.sheds >= samples || elapsed >= windowLongest
+	return w.samples+w.sheds >= minSamples || elapsed >= maxWindowTime
 }
 
 // ratio returns the mean latency relative to the baselines.
@@ -55,5 +55,5 @@
 	if w.samples == 0 {
 		return 1
 	}
-	return w.ratios / float64(w.samples)
+	return w.ratioSum / float64(w.samples)
 }
