--- a/internal/decide/queue/class.go
+++ b/internal/decide/queue/class.go
@@ -2,57 +2,61 @@
 
 import "container/heap"
 
-// class is one priority, served by start-time fair queueing.
+// class is the queue of one priority, served by start-time fair queueing.
 //
-// Each organisation has a virtual time that moves on by an item's cost over its
-// weight, and the one furthest behind is served. Deficit round robin was tried
-// first: with weights of 4 and 30 a round takes 100 items, longer than a request
-// may wait, so that the small organisations' requests left before their turn.
+// Each organisation has a virtual time that advances by an item's cost divided by the organisation's weight, and the organisation with
+// the lowest virtual time is served. Deficit round robin doesn't fit: with weights of 4 and 30 a round takes 100 items, longer than a
+// request may wait, so that the requests of small organisations would expire before their turn.
 type class[T any] struct {
 	flows   map[string]*flow[T]
-	waiting byStart[T]
-	virtual float64
-	// furthest is the latest virtual time that any flow has reached.
-	furthest float64
-	weight   int
-	length   int
-
-	levels []*flow[T]
-	top    int
-
-	// idle are flows without items whose past share still counts against them, oldest first.
-	idle, idleLast *flow[T]
-	spare          *flow[T]
+	waiting flowHeap[T]
+	// virtualTime is the virtual start of the item served last.
+	virtualTime float64
+	// maxVirtualTime is the highest virtual time that any flow has reached.
+	maxVirtualTime float64
+	// waitingWeight is the sum of the weights of the flows with items.
+	waitingWeight int
+	length        int
+
+	// levels lists the flows with items by length divided by weight; longestLevel is the highest level with a flow.
+	levels       []*flow[T]
+	longestLevel int
+
+	// idleHead and idleTail are the ends of the list of idle flows, oldest first. They have no items, but their virtual time is kept since
+	// it still counts against them.
+	idleHead, idleTail *flow[T]
+	// free lists flows to be used again.
+	free *flow[T]
 }
 
-// topLevel bounds the table of lengths; all longer flows count as equally long.
-const topLevel = 4095
+// maxLevel bounds the table of levels; all longer flows count as equally long.
+const maxLevel = 4095
 
 func (c *class[T]) push(i *Item[T]) {
 	f := c.flows[i.Organisation]
 	if f == nil {
-		f = c.open(i)
+		f = c.addFlow(i)
 	}
 	i.flow = f
 	f.items.push(i)
-	f.queued += i.span(f.weight)
+	f.queuedCost += i.virtualCost(f.weight)
 	c.length++
-	c.relevel(f)
-	if f.place < 0 {
-		f.start = max(f.start, c.virtual)
-		c.weight += f.weight
+	c.updateLevel(f)
+	if f.heapIndex < 0 {
+		f.virtualStart = max(f.virtualStart, c.virtualTime)
+		c.waitingWeight += f.weight
 		heap.Push(&c.waiting, f)
 	}
 }
 
-// next returns the item to serve and charges its organisation; the class is not empty.
+// next returns the item to serve and charges its organisation; the class must not be empty.
 func (c *class[T]) next() *Item[T] {
 	f := c.waiting[0]
 	i := f.items.head
-	c.virtual = f.start
-	f.start += i.span(f.weight)
-	c.furthest = max(c.furthest, f.start)
-	heap.Fix(&c.waiting, f.place)
+	c.virtualTime = f.virtualStart
+	f.virtualStart += i.virtualCost(f.weight)
+	c.maxVirtualTime = max(c.maxVirtualTime, f.virtualStart)
+	heap.Fix(&c.waiting, f.heapIndex)
 	return i
 }
 
@@ -60,94 +64,96 @@
 	f := i.flow
 	i.flow = nil
 	f.items.remove(i)
-	f.queued -= i.span(f.weight)
+	f.queuedCost -= i.virtualCost(f.weight)
 	c.length--
-	c.relevel(f)
+	c.updateLevel(f)
 	if f.items.length == 0 {
-		heap.Remove(&c.waiting, f.place)
-		c.weight -= f.weight
-		f.queued = 0
-		c.rest(f)
+		heap.Remove(&c.waiting, f.heapIndex)
+		c.waitingWeight -= f.weight
+		f.queuedCost = 0
+		c.markIdle(f)
 	}
-	c.forget()
+	c.reclaimIdle()
 }
 
-// ahead assumes that all organisations in the class keep their queues filled while the item waits.
+// ahead estimates how many items are served before the item, assuming that all organisations in the class keep their queues filled.
 func (c *class[T]) ahead(i *Item[T]) int {
-	weight, behind, others := max(i.Weight, 1), 0.0, c.weight
+	weight, backlog, otherWeight := max(i.Weight, 1), 0.0, c.waitingWeight
 	if f := c.flows[i.Organisation]; f != nil {
-		behind = max(f.start-c.virtual, 0) + f.queued
+		backlog = max(f.virtualStart-c.virtualTime, 0) + f.queuedCost
 		weight = f.weight
-		if f.place >= 0 {
-			others -= f.weight
+		if f.heapIndex >= 0 {
+			otherWeight -= f.weight
 		}
 	}
-	return min(c.length, int(behind*float64(others+weight)))
+	return min(c.length, int(backlog*float64(otherWeight+weight)))
 }
 
-func (c *class[T]) open(i *Item[T]) *flow[T] {
-	f := c.spare
+// addFlow adds a flow for the item's organisation.
+func (c *class[T]) addFlow(i *Item[T]) *flow[T] {
+	f := c.free
 	if f == nil {
 		f = &flow[T]{}
 	} else {
-		c.spare = f.idleNext
+		c.free = f.idleNext
 	}
-	*f = flow[T]{organisation: i.Organisation, weight: max(i.Weight, 1), level: -1, place: -1}
+	*f = flow[T]{organisation: i.Organisation, weight: max(i.Weight, 1), level: -1, heapIndex: -1}
 	c.flows[f.organisation] = f
 	return f
 }
 
-// rest keeps an emptied flow's virtual time. An organisation that always has
-// just one request waiting would otherwise begin anew with each and take more than its share.
-func (c *class[T]) rest(f *flow[T]) {
+// markIdle keeps the virtual time of a flow that has run out of items. An organisation that always has just one request waiting would
+// otherwise start from the current virtual time with each and take more than its share.
+func (c *class[T]) markIdle(f *flow[T]) {
 	if c.length == 0 {
-		c.virtual = c.furthest
+		c.virtualTime = c.maxVirtualTime
 	}
-	if f.resting {
+	if f.inIdleList {
 		return
 	}
-	f.resting = true
+	f.inIdleList = true
 	f.idleNext = nil
-	if c.idle == nil {
-		c.idle = f
+	if c.idleHead == nil {
+		c.idleHead = f
 	} else {
-		c.idleLast.idleNext = f
+		c.idleTail.idleNext = f
 	}
-	c.idleLast = f
+	c.idleTail = f
 }
 
-// forgetAtOnce bounds the work of one step.
-const forgetAtOnce = 2
+// maxReclaimed bounds the number of idle flows examined by one operation.
+const maxReclaimed = 2
 
-// forget gives up flows that the others have caught up with, a few at a time; one that waits again only leaves the list.
-func (c *class[T]) forget() {
-	for range forgetAtOnce {
-		f := c.idle
+// reclaimIdle drops idle flows that are no longer ahead of the virtual time, a few at a time; a flow that has items again only leaves
+// the idle list.
+func (c *class[T]) reclaimIdle() {
+	for range maxReclaimed {
+		f := c.idleHead
 		if f == nil {
 			return
 		}
-		c.idle = f.idleNext
-		if c.idle == nil {
-			c.idleLast = nil
+		c.idleHead = f.idleNext
+		if c.idleHead == nil {
+			c.idleTail = nil
 		}
 		f.idleNext = nil
-		f.resting = false
+		f.inIdleList = false
 		switch {
-		case f.place >= 0:
-		case f.start > c.virtual:
-			c.rest(f)
+		case f.heapIndex >= 0:
+		case f.virtualStart > c.virtualTime:
+			c.markIdle(f)
 		default:
 			delete(c.flows, f.organisation)
-			f.idleNext = c.spare
-			c.spare = f
+			f.idleNext = c.free
+			c.free = f
 		}
 	}
 }
 
-// relevel moves the flow to the list of its present length. A length changes
-// by one at a time, so the top of the table moves by at most one too.
-func (c *class[T]) relevel(f *flow[T]) {
-	level := min(f.items.length/f.weight, topLevel)
+// updateLevel moves the flow to the list of its current level. A length changes by one at a time, so longestLevel moves by at most one
+// too.
+func (c *class[T]) updateLevel(f *flow[T]) {
+	level := min(f.items.length/f.weight, maxLevel)
 	if f.items.length == 0 {
 		level = -1
 	}
@@ -155,18 +161,18 @@
 		return
 	}
 	if f.level >= 0 {
-		c.unlevel(f)
+		c.unlinkLevel(f)
 	}
 	f.level = level
 	if level >= 0 {
-		c.enlevel(f)
+		c.linkLevel(f)
 	}
-	for c.top > 0 && c.levels[c.top] == nil {
-		c.top--
+	for c.longestLevel > 0 && c.levels[c.longestLevel] == nil {
+		c.longestLevel--
 	}
 }
 
-func (c *class[T]) enlevel(f *flow[T]) {
+func (c *class[T]) linkLevel(f *flow[T]) {
 	for len(c.levels) <= f.level {
 		c.levels = append(c.levels, nil)
 	}
@@ -175,10 +181,10 @@
 		f.levelNext.levelPrev = f
 	}
 	c.levels[f.level] = f
-	c.top = max(c.top, f.level)
+	c.longestLevel = max(c.longestLevel, f.level)
 }
 
-func (c *class[T]) unlevel(f *flow[T]) {
+func (c *class[T]) unlinkLevel(f *flow[T]) {
 	if f.levelPrev == nil {
 		c.levels[f.level] = f.levelNext
 	} else {
@@ -189,16 +195,16 @@
 	}
 }
 
-// longest returns the level of the longest flow, or -1 in an empty class.
-func (c *class[T]) longest() int {
+// maxFlowLevel returns the level of the longest flow, or -1 in an empty class.
+func (c *class[T]) maxFlowLevel() int {
 	if c.length == 0 {
 		return -1
 	}
-	return c.top
+	return c.longestLevel
 }
 
-// levelOf returns the level that the item's flow would have with it.
-func (c *class[T]) levelOf(i *Item[T]) int {
+// levelWith returns the level that the item's flow would have with the item.
+func (c *class[T]) levelWith(i *Item[T]) int {
 	length := 1
 	if f := c.flows[i.Organisation]; f != nil {
 		length = f.items.length + 1
@@ -206,4 +212,4 @@
 	return length / max(i.Weight, 1)
 }
 
-func (c *class[T]) newestOfLongest() *Item[T] { return c.levels[c.top].items.tail }
+func (c *class[T]) newestOfLongest() *Item[T] { return c.levels[c.longestLevel].items.tail }
--- a/internal/decide/queue/fair.go
+++ b/internal/decide/queue/fair.go
@@ -2,22 +2,20 @@
 
 import "github.com/foxtailhook/foxtailhook/internal/domain/call"
 
-// FairQueue serves the highest priority first and, within one, each organisation by its weight.
+// FairQueue serves the highest priority first and, within a priority, the organisations by weight.
 //
-// It is for a fleet where one organisation sends several times its rate, or
-// sends files while others look up vehicles. In order of arrival the others
-// would wait behind it and see its overload as theirs. All steps cost the same
-// for eight organisations and for ten thousand.
+// Designed for a fleet where one organisation exceeds its rate several times over, or sends files while others look up vehicles. In
+// order of arrival the others would wait behind it and be affected by its overload. The cost of each operation is the same for eight
+// organisations and for ten thousand.
 type FairQueue[T any] struct {
 	classes [call.Priorities]class[T]
 	length  int
 	pops    uint
 }
 
-// lowerEvery is how often a lower priority goes first: at full load of higher
-// work, one slot in 32 goes to the rest, so that none of it starves, at a price
-// of 3% to those who wait for a lookup.
-const lowerEvery = 32
+// lowerPriorityInterval makes every 32nd item served one of a lower priority: at full load of higher-priority requests, one slot in 32
+// goes to the others so that none starves, which costs the higher-priority requests 3% of the slots.
+const lowerPriorityInterval = 32
 
 // NewFair returns an empty fair queue.
 func NewFair[T any]() *FairQueue[T] {
@@ -38,7 +36,7 @@
 	q.length++
 }
 
-// Remove takes out an item that gave up.
+// Remove removes a waiting item, such as one whose caller has given up.
 func (q *FairQueue[T]) Remove(i *Item[T]) {
 	if !i.queued {
 		return
@@ -48,26 +46,27 @@
 	q.length--
 }
 
-// Pop takes out the item to serve next, or returns nil.
+// Pop removes and returns the item to serve next, or returns nil.
 func (q *FairQueue[T]) Pop() *Item[T] {
 	if q.length == 0 {
 		return nil
 	}
-	i := q.classes[q.turn()].next()
+	i := q.classes[q.nextPriority()].next()
 	q.Remove(i)
 	return i
 }
 
-// turn returns the priority whose turn it is; the queue is not empty.
-func (q *FairQueue[T]) turn() call.Priority {
+// nextPriority returns the priority to serve next; the queue must not be empty.
+func (q *FairQueue[T]) nextPriority() call.Priority {
 	q.pops++
-	if q.pops%lowerEvery == 0 {
-		return q.lowest()
+	if q.pops%lowerPriorityInterval == 0 {
+		return q.lowerPriority()
 	}
-	return q.highest()
+	return q.highestPriority()
 }
 
-func (q *FairQueue[T]) highest() call.Priority {
+// highestPriority returns the highest priority with items.
+func (q *FairQueue[T]) highestPriority() call.Priority {
 	for p := call.Nested; p > call.Background; p-- {
 		if q.classes[p].length > 0 {
 			return p
@@ -76,9 +75,9 @@
 	return call.Background
 }
 
-// lowest alternates between the two lower priorities, so that neither starves the other.
-func (q *FairQueue[T]) lowest() call.Priority {
-	if q.pops/lowerEvery%2 == 0 && q.classes[call.Standard].length > 0 {
+// lowerPriority alternates between the two lower priorities, so that neither starves the other.
+func (q *FairQueue[T]) lowerPriority() call.Priority {
+	if q.pops/lowerPriorityInterval%2 == 0 && q.classes[call.Standard].length > 0 {
 		return call.Standard
 	}
 	for p := call.Background; p < call.Nested; p++ {
@@ -89,7 +88,7 @@
 	return call.Nested
 }
 
-// Ahead estimates how many items would be served before the item.
+// Ahead estimates how many items would be served before the item if it were pushed now.
 func (q *FairQueue[T]) Ahead(i *Item[T]) int {
 	ahead := q.classes[i.Priority].ahead(i)
 	for p := i.Priority + 1; p <= call.Nested; p++ {
@@ -98,13 +97,12 @@
 	return ahead
 }
 
-// Victim returns the item that should leave a full queue for the arrival, or nil if the arrival should go.
+// Victim returns the item to evict from a full queue in favour of the arrival, or nil if the arrival should be refused.
 //
-// Lower priorities lose first, so that a booking is shed after work that
-// nobody waits for. Within a priority the organisation with the longest queue
-// for its weight loses its newest item: one that sends five times its rate
-// fills the queue, and must not thereby refuse the others. The last item of a
-// priority stays, since otherwise a steady flood of higher work would starve it.
+// Lower priorities lose items first, so that a booking is shed after requests that nobody waits for. Within a priority the organisation
+// with the longest queue relative to its weight loses its newest item: one that sends five times its rate fills the queue, and must not
+// cause refusals of the others' requests. The last item of a priority stays, since otherwise a steady flood of higher-priority requests
+// would starve it.
 func (q *FairQueue[T]) Victim(arrival *Item[T]) *Item[T] {
 	for p := call.Background; p < arrival.Priority; p++ {
 		if q.classes[p].length > 1 {
@@ -112,7 +110,7 @@
 		}
 	}
 	own := &q.classes[arrival.Priority]
-	if own.longest() > own.levelOf(arrival) {
+	if own.maxFlowLevel() > own.levelWith(arrival) {
 		return own.newestOfLongest()
 	}
 	return nil
--- a/internal/decide/queue/fair_test.go
+++ b/internal/decide/queue/fair_test.go
@@ -16,22 +16,22 @@
 
 func TestFairShares(t *testing.T) {
 	cases := []struct {
-		name   string
-		weight []int
-		queued []int
-		pops   int
-		want   []int
+		name    string
+		weights []int
+		queued  []int
+		pops    int
+		want    []int
 	}{
 		{"one organisation sends five times the others", []int{1, 1, 1}, []int{500, 100, 100}, 300, []int{100, 100, 100}},
-		{"weights count", []int{3, 1}, []int{400, 400}, 400, []int{300, 100}},
-		{"what one leaves goes to the others", []int{1, 1}, []int{300, 10}, 200, []int{190, 10}},
+		{"shares follow the weights", []int{3, 1}, []int{400, 400}, 400, []int{300, 100}},
+		{"unused shares go to the others", []int{1, 1}, []int{300, 10}, 200, []int{190, 10}},
 	}
-	Convey("Organisations are served by weight, whatever they queue", t, func() {
+	Convey("Organisations are served by weight, however long their queues are", t, func() {
 		for _, c := range cases {
 			q := NewFair[int]()
 			for o, n := range c.queued {
 				for range n {
-					q.Push(item(fmt.Sprint(o), c.weight[o], call.Standard))
+					q.Push(item(fmt.Sprint(o), c.weights[o], call.Standard))
 				}
 			}
 			got := make([]int, len(c.want))
@@ -46,7 +46,7 @@
 }
 
 func TestFairPriorities(t *testing.T) {
-	Convey("Higher work goes first, and lower work is not starved", t, func() {
+	Convey("Higher priorities are served first, and lower priorities don't starve", t, func() {
 		q := NewFair[int]()
 		for range 10 {
 			q.Push(item("a", 1, call.Background))
@@ -60,7 +60,7 @@
 		So(served[call.Background], ShouldEqual, 10)
 		So(served[call.Interactive], ShouldEqual, 310)
 	})
-	Convey("A full queue gives up lower work, the longest queue's newest first, and never the last of a priority", t, func() {
+	Convey("A full queue evicts lower priorities first, the newest item of the longest flow, and never the last item of a priority", t, func() {
 		q := NewFair[int]()
 		first := item("small", 1, call.Background)
 		q.Push(first)
@@ -79,21 +79,21 @@
 	})
 }
 
-// naive keeps all items in a slice and looks through them for each answer.
-type naive struct {
+// naiveQueue keeps all items in a slice and searches it.
+type naiveQueue struct {
 	items []*Item[int]
 }
 
-func (n *naive) remove(i *Item[int]) {
-	for at, e := range n.items {
+func (n *naiveQueue) remove(i *Item[int]) {
+	for index, e := range n.items {
 		if e == i {
-			n.items = append(n.items[:at:at], n.items[at+1:]...)
+			n.items = append(n.items[:index:index], n.items[index+1:]...)
 			return
 		}
 	}
 }
 
-func (n *naive) oldest(organisation string, p call.Priority) *Item[int] {
+func (n *naiveQueue) oldest(organisation string, p call.Priority) *Item[int] {
 	for _, e := range n.items {
 		if e.Organisation == organisation && e.Priority == p {
 			return e
@@ -102,20 +102,20 @@
 	return nil
 }
 
-func (n *naive) longest(p call.Priority) int {
-	lengths, most := map[string]int{}, -1
+func (n *naiveQueue) longest(p call.Priority) int {
+	lengths, longest := map[string]int{}, -1
 	for _, e := range n.items {
 		if e.Priority == p {
 			lengths[e.Organisation]++
-			most = max(most, lengths[e.Organisation]/e.Weight)
+			longest = max(longest, lengths[e.Organisation]/e.Weight)
 		}
 	}
-	return most
+	return longest
 }
 
 func TestFairAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q, n := NewFair[int](), &naive{}
+		q, n := NewFair[int](), &naiveQueue{}
 		for step := range rapid.IntRange(1, 300).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "do") {
 			case 0, 1:
@@ -130,7 +130,7 @@
 					t.Fatalf("popped %v of %d items", i, len(n.items))
 				}
 				if i != nil && n.oldest(i.Organisation, i.Priority) != i {
-					t.Fatalf("%q was served out of its own order", i.Organisation)
+					t.Fatalf("%q was not served in its order of arrival", i.Organisation)
 				}
 				n.remove(i)
 			case 3:
@@ -144,7 +144,7 @@
 				t.Fatalf("%d items, want %d", q.Len(), len(n.items))
 			}
 			for p := range q.classes {
-				if got, want := q.classes[p].longest(), n.longest(call.Priority(p)); got != want {
+				if got, want := q.classes[p].maxFlowLevel(), n.longest(call.Priority(p)); got != want {
 					t.Fatalf("longest %d, want %d", got, want)
 				}
 			}
@@ -152,11 +152,11 @@
 	})
 }
 
-// One organisation keeps a long queue, another always has just one request
-// waiting. If the second began anew with each, it would be served every other
-// time; those who queue patiently would see their share shrink.
-func TestOneAtATimeGetsNoMoreThanItsShare(t *testing.T) {
-	Convey("A flow that empties keeps what it has had", t, func() {
+// Guards against an unfair share for an organisation that always has just one request waiting, beside one with a long queue: if its
+// virtual time started anew with each request, it would be served every other time, and those with longer queues would get less than
+// their share.
+func TestSingleRequestsGetNoMoreThanTheirShare(t *testing.T) {
+	Convey("A flow that runs out of items keeps its virtual time", t, func() {
 		q := NewFair[int]()
 		for range 400 {
 			q.Push(item("large", 3, call.Standard))
@@ -172,7 +172,7 @@
 		}
 		So(served["single"], ShouldBeBetweenOrEqual, 99, 101)
 	})
-	Convey("Organisations that are served up are forgotten", t, func() {
+	Convey("Flows of organisations without waiting requests are dropped", t, func() {
 		q := NewFair[int]()
 		for o := range 1000 {
 			q.Push(item(fmt.Sprint(o), 1, call.Standard))
--- a/internal/decide/queue/flow.go
+++ b/internal/decide/queue/flow.go
@@ -1,68 +1,66 @@
 package queue
 
-// flow is what waits of one organisation in one priority.
+// flow holds the waiting items of one organisation in one priority.
 type flow[T any] struct {
 	organisation string
 	weight       int
 	items        list[T]
-	// start is the virtual time at which the first item may begin, and queued
-	// the virtual time that all waiting items take.
-	start  float64
-	queued float64
-	// place is the flow's index in the heap of waiting flows, or -1.
-	place int
+	// virtualStart is the virtual time at which the first item may start, queuedCost the virtual time that all waiting items take.
+	virtualStart float64
+	queuedCost   float64
+	// heapIndex is the flow's index in the heap of flows with items, or -1.
+	heapIndex int
 
 	levelPrev, levelNext *flow[T]
 	level                int
-	// resting means that the flow is in the list of idle ones, perhaps although it waits again.
-	resting  bool
-	idleNext *flow[T]
+	// inIdleList means that the flow is in the list of idle flows; it may have items again.
+	inIdleList bool
+	idleNext   *flow[T]
 }
 
-// byStart is the heap of the flows that wait, the one to serve first on top.
-type byStart[T any] []*flow[T]
+// flowHeap is a heap of the flows with items, ordered by virtual start.
+type flowHeap[T any] []*flow[T]
 
 // Len implements sort.Interface.
-func (b byStart[T]) Len() int { return len(b) }
+func (h flowHeap[T]) Len() int { return len(h) }
 
 // Less implements sort.Interface.
-func (b byStart[T]) Less(i, j int) bool { return b[i].start < b[j].start }
+func (h flowHeap[T]) Less(i, j int) bool { return h[i].virtualStart < h[j].virtualStart }
 
 // Swap implements sort.Interface.
-func (b byStart[T]) Swap(i, j int) {
-	b[i], b[j] = b[j], b[i]
-	b[i].place, b[j].place = i, j
+func (h flowHeap[T]) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (b *byStart[T]) Push(x any) {
+func (h *flowHeap[T]) Push(x any) {
 	f := x.(*flow[T])
-	f.place = len(*b)
-	*b = append(*b, f)
+	f.heapIndex = len(*h)
+	*h = append(*h, f)
 }
 
 // Pop implements heap.Interface.
-func (b *byStart[T]) Pop() any {
-	last := len(*b) - 1
-	f := (*b)[last]
-	(*b)[last] = nil
-	*b = (*b)[:last]
-	f.place = -1
+func (h *flowHeap[T]) Pop() any {
+	last := len(*h) - 1
+	f := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	f.heapIndex = -1
 	return f
 }
 
 const (
-	// costliest and cheapest bound an item's cost, so that one odd expectation
-	// can't shut an organisation out for long.
-	costliest = 8
-	cheapest  = 1.0 / costliest
+	// maxCost and minCost bound an item's relative cost, so that one wrong estimate can't starve an organisation for long.
+	maxCost = 8
+	minCost = 1.0 / maxCost
 )
 
-// span is the virtual time that an item takes of an organisation with the weight.
-func (i *Item[T]) span(weight int) float64 {
+// virtualCost is the virtual time by which the item advances an organisation of the given weight.
+func (i *Item[T]) virtualCost(weight int) float64 {
 	cost := i.Cost
 	if cost == 0 {
 		cost = 1
 	}
-	return min(max(cost, cheapest), costliest) / float64(weight)
+	return min(max(cost, minCost), maxCost) / float64(weight)
 }
--- a/internal/decide/queue/line.go
+++ b/internal/decide/queue/line.go
@@ -32,55 +32,55 @@
 	l.length--
 }
 
-// line serves in order of arrival, or in its reverse; it is what the fair queue is compared with.
-type line[T any] struct {
-	items  list[T]
-	newest bool
+// arrivalQueue serves in order of arrival or in its reverse; it is the baseline for comparisons with FairQueue.
+type arrivalQueue[T any] struct {
+	items       list[T]
+	newestFirst bool
 }
 
-func (l *line[T]) Push(i *Item[T]) {
+func (q *arrivalQueue[T]) Push(i *Item[T]) {
 	i.queued = true
-	l.items.push(i)
+	q.items.push(i)
 }
 
-func (l *line[T]) Pop() *Item[T] {
-	i := l.items.head
-	if l.newest {
-		i = l.items.tail
+func (q *arrivalQueue[T]) Pop() *Item[T] {
+	i := q.items.head
+	if q.newestFirst {
+		i = q.items.tail
 	}
 	if i != nil {
-		l.Remove(i)
+		q.Remove(i)
 	}
 	return i
 }
 
-func (l *line[T]) Remove(i *Item[T]) {
+func (q *arrivalQueue[T]) Remove(i *Item[T]) {
 	if !i.queued {
 		return
 	}
 	i.queued = false
-	l.items.remove(i)
+	q.items.remove(i)
 }
 
-func (l *line[T]) Len() int { return l.items.length }
+func (q *arrivalQueue[T]) Len() int { return q.items.length }
 
-func (l *line[T]) Ahead(*Item[T]) int {
-	if l.newest {
+func (q *arrivalQueue[T]) Ahead(*Item[T]) int {
+	if q.newestFirst {
 		return 0
 	}
-	return l.items.length
+	return q.items.length
 }
 
-func (l *line[T]) Victim(*Item[T]) *Item[T] {
-	if l.newest {
-		return l.items.head
+func (q *arrivalQueue[T]) Victim(*Item[T]) *Item[T] {
+	if q.newestFirst {
+		return q.items.head
 	}
 	return nil
 }
 
-func (l *line[T]) Last() *Item[T] {
-	if l.newest {
-		return l.items.head
+func (q *arrivalQueue[T]) Last() *Item[T] {
+	if q.newestFirst {
+		return q.items.head
 	}
-	return l.items.tail
+	return q.items.tail
 }
--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -7,11 +7,11 @@
 
 //go:generate stringer -type=Kind -linecomment
 
-// Kind names an order of service.
+// Kind is an order of service.
 type Kind uint8
 
 const (
-	// Fair serves by priority and, within one, in weighted fair shares of the organisations.
+	// Fair serves by priority and, within a priority, in weighted fair shares of the organisations.
 	Fair Kind = iota // fair
 	// FIFO serves the oldest first.
 	FIFO // fifo
@@ -19,16 +19,16 @@
 	LIFO // lifo
 )
 
-// ParseKind returns the kind with the given name, or false.
+// ParseKind returns the kind with the given name; false if there is none.
 func ParseKind(name string) (Kind, bool) { return enum.Parse(name, LIFO) }
 
-// Item is one waiting request; it holds its own links, so that queueing allocates nothing.
+// Item is one waiting request; it holds its own list links, so that queueing allocates nothing.
 type Item[T any] struct {
 	Value        T
 	Organisation string
 	Weight       int
 	Priority     call.Priority
-	// Cost is the expected slot time relative to the mean of all requests; 0 counts as 1.
+	// Cost is the expected time in a slot relative to the mean of all requests; 0 counts as 1.
 	Cost float64
 
 	prev, next *Item[T]
@@ -39,19 +39,19 @@
 // Queued reports whether the item is in a queue.
 func (i *Item[T]) Queued() bool { return i.queued }
 
-// Queue is an order of service; it is used by one goroutine at a time.
+// Queue is an order of service; it isn't safe for concurrent use.
 type Queue[T any] interface {
 	// Push adds an item that is in no queue.
 	Push(i *Item[T])
-	// Pop takes out the item to serve next, or returns nil.
+	// Pop removes and returns the item to serve next, or returns nil.
 	Pop() *Item[T]
-	// Remove takes out an item that gave up; it does nothing when the item is not queued.
+	// Remove removes a waiting item; it does nothing if the item isn't queued.
 	Remove(i *Item[T])
 	// Len returns the number of items.
 	Len() int
 	// Ahead estimates how many items would be served before the item if it were pushed now.
 	Ahead(i *Item[T]) int
-	// Victim returns the item that should leave a full queue for the arrival, or nil if the arrival should go.
+	// Victim returns the item to evict from a full queue in favour of the arrival, or nil if the arrival should be refused.
 	Victim(arrival *Item[T]) *Item[T]
 	// Last returns the item that is likely to be served last, or nil.
 	Last() *Item[T]
@@ -61,9 +61,9 @@
 func New[T any](k Kind) Queue[T] {
 	switch k {
 	case FIFO:
-		return &line[T]{}
+		return &arrivalQueue[T]{}
 	case LIFO:
-		return &line[T]{newest: true}
+		return &arrivalQueue[T]{newestFirst: true}
 	default:
 		return NewFair[T]()
 	}
