--- a/internal/decide/placing/group.go
+++ b/internal/decide/placing/group.go
@@ -7,44 +7,47 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// group is the hosts of one service.
+// group holds the hosts of one service.
 type group struct {
-	mu      sync.Mutex
-	source  []lists.Host
+	mu sync.Mutex
+	// hosts is the list that the members were built from.
+	hosts   []lists.Host
 	members []*member
-	// near and far are the hosts of the daemon's own region and of all others, local those of its availability zone.
-	near   []*member
-	far    []*member
-	local  []*member
-	byName map[string]*member
+	// sameRegion and otherRegions split the members by region; sameZone are those of sameRegion in the daemon's availability zone.
+	sameRegion   []*member
+	otherRegions []*member
+	sameZone     []*member
+	byName       map[string]*member
 
-	// latency is the mean over all hosts, in seconds, for each operation and for all.
-	latency   map[string]float64
-	mean      float64
-	meanLimit float64
-	turn      int
+	// meanByOperation and meanLatency are the mean latency over all hosts in seconds, by operation and for all requests.
+	meanByOperation map[string]float64
+	meanLatency     float64
+	meanLimit       float64
+	// turn counts the hosts chosen by round robin.
+	turn int
 }
 
 const (
-	latencyWeight = 0.05
-	limitWeight   = 0.05
+	// meanLatencyWeight and meanLimitWeight are the weight of one sample in the means.
+	meanLatencyWeight = 0.05
+	meanLimitWeight   = 0.05
 )
 
-// adopt takes over a new list. Hosts that stay keep what is known of them, and
-// hosts that appear beside known ones ramp up. The same slice means the same list.
-func (g *group) adopt(hosts []lists.Host, at place, now time.Time) {
-	if len(hosts) == len(g.source) && (len(hosts) == 0 || &hosts[0] == &g.source[0]) {
+// setHosts replaces the host list. Hosts that stay keep their state, and hosts that are added to a known list ramp up. The same slice
+// means the same list.
+func (g *group) setHosts(hosts []lists.Host, location position, now time.Time) {
+	if len(hosts) == len(g.hosts) && (len(hosts) == 0 || &hosts[0] == &g.hosts[0]) {
 		return
 	}
-	first := g.source == nil
+	initial := g.hosts == nil
 	byName := make(map[string]*member, len(hosts))
-	g.source, g.members, g.near, g.far, g.local = hosts, nil, nil, nil, nil
+	g.hosts, g.members, g.sameRegion, g.otherRegions, g.sameZone = hosts, nil, nil, nil, nil
 	for _, h := range hosts {
 		m := g.byName[h.Host]
 		if m == nil {
-			m = &member{pace: 1}
-			if !first {
-				m.since = now
+			m = &member{relativeLatency: 1}
+			if !initial {
+				m.addedAt = now
 			}
 		}
 		m.host = h
@@ -52,47 +55,47 @@
 		if h.Leaving {
 			continue
 		}
-		g.add(m, at)
+		g.add(m, location)
 	}
 	g.byName = byName
 }
 
-// add sorts a host by its distance; one whose entry names no region is as good as near.
-func (g *group) add(m *member, at place) {
+// add adds a host to the lists of its region and availability zone; one whose entry names no region counts as in the same region.
+func (g *group) add(m *member, location position) {
 	g.members = append(g.members, m)
-	if at.region != anyRegion && m.host.Region != anyRegion && m.host.Region != at.region {
-		g.far = append(g.far, m)
+	if location.region != anyRegion && m.host.Region != anyRegion && m.host.Region != location.region {
+		g.otherRegions = append(g.otherRegions, m)
 		return
 	}
-	g.near = append(g.near, m)
-	if m.host.Zone == at.zone {
-		g.local = append(g.local, m)
+	g.sameRegion = append(g.sameRegion, m)
+	if m.host.Zone == location.zone {
+		g.sameZone = append(g.sameZone, m)
 	}
 }
 
-// learnLimit takes in a limit that a host reported. A report far off the mean
-// counts as a bounded one, so that no host can shift the measure for all others.
-func (g *group) learnLimit(limit float64) {
+// recordLimit records the concurrency limit that a host reported. A report far off the mean is clamped, so that no single host can
+// shift the mean for all others.
+func (g *group) recordLimit(limit float64) {
 	if g.meanLimit == 0 {
 		g.meanLimit = limit
 	}
-	limit = min(max(limit, g.meanLimit*leastCapacity), g.meanLimit*mostCapacity)
-	g.meanLimit += (limit - g.meanLimit) * limitWeight
+	limit = min(max(limit, g.meanLimit*minCapacity), g.meanLimit*maxCapacity)
+	g.meanLimit += (limit - g.meanLimit) * meanLimitWeight
 }
 
-// learn takes in the latency of a served request and returns it relative to its operation's mean.
-func (g *group) learn(operation string, latency time.Duration) float64 {
+// recordLatency records the latency of a served request and returns it relative to its operation's mean.
+func (g *group) recordLatency(operation string, latency time.Duration) float64 {
 	seconds := latency.Seconds()
-	mean, ok := g.latency[operation]
+	mean, ok := g.meanByOperation[operation]
 	if !ok || mean == 0 {
 		mean = seconds
 	}
-	mean += (seconds - mean) * latencyWeight
-	g.latency[operation] = mean
-	if g.mean == 0 {
-		g.mean = seconds
+	mean += (seconds - mean) * meanLatencyWeight
+	g.meanByOperation[operation] = mean
+	if g.meanLatency == 0 {
+		g.meanLatency = seconds
 	}
-	g.mean += (seconds - g.mean) * latencyWeight
+	g.meanLatency += (seconds - g.meanLatency) * meanLatencyWeight
 	if mean == 0 {
 		return 1
 	}
--- a/internal/decide/placing/kind.go
+++ b/internal/decide/placing/kind.go
@@ -5,33 +5,33 @@
 //go:generate stringer -type=Kind -linecomment
 //go:generate stringer -type=Ending -linecomment
 
-// Kind names a way to choose a host.
+// Kind is a policy for choosing a host.
 type Kind uint8
 
 const (
-	// TwoChoices takes the better of two random hosts, one of them in the own availability zone.
+	// TwoChoices takes the better of two random hosts, one of them in the daemon's own availability zone.
 	TwoChoices Kind = iota // twoChoices
 	// RoundRobin takes the hosts in turn.
 	RoundRobin // roundRobin
-	// LeastLatency takes the host with the lowest latency of all.
+	// LeastLatency takes the host with the lowest latency.
 	LeastLatency // leastLatency
 )
 
-// ParseKind returns the kind with the given name, or false.
+// ParseKind returns the kind with the given name; false if there is none.
 func ParseKind(name string) (Kind, bool) { return enum.Parse(name, LeastLatency) }
 
-// Ending is how a placed request ended, as far as it tells of the host.
+// Ending is the result of a placed request, as far as it depends on the host.
 type Ending uint8
 
 const (
-	// Served means that the host's upstream answered.
+	// Served means that the host's upstream responded.
 	Served Ending = iota // served
-	// Faulty means that the upstream answered with a fault of its own.
+	// Faulty means that the upstream responded with an error of its own.
 	Faulty // faulty
-	// Declined means that the host refused for overload.
+	// Declined means that the host declined the request for overload.
 	Declined // declined
-	// Failed means that the host was not reached or gave no whole answer.
+	// Failed means that the host was unreachable or its response was incomplete.
 	Failed // failed
-	// Silent means that the ending tells nothing of the host.
+	// Silent means that the result carries no information on the host.
 	Silent // silent
 )
--- a/internal/decide/placing/placer_test.go
+++ b/internal/decide/placing/placer_test.go
@@ -28,32 +28,33 @@
 	return WithChoose(r.IntN), r
 }
 
-// answer is how a host answers a request, given how many it is running.
-type answer func(host, running int) (time.Duration, Ending, call.Load)
-
-type due struct {
-	at     time.Time
-	place  Placement
-	ending Ending
-	load   call.Load
+// hostModel returns the latency, result and reported load of a request, given the host and how many requests it is running.
+type hostModel func(host, running int) (time.Duration, Ending, call.Load)
+
+type pendingResult struct {
+	at        time.Time
+	placement Placement
+	ending    Ending
+	load      call.Load
 }
 
-type schedule []due
+// resultHeap orders the results by time.
+type resultHeap []pendingResult
 
-func (s schedule) Len() int           { return len(s) }
-func (s schedule) Less(i, j int) bool { return s[i].at.Before(s[j].at) }
-func (s schedule) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
-func (s *schedule) Push(d any)        { *s = append(*s, d.(due)) }
-func (s *schedule) Pop() any {
-	old := *s
+func (h resultHeap) Len() int           { return len(h) }
+func (h resultHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h resultHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *resultHeap) Push(x any)        { *h = append(*h, x.(pendingResult)) }
+func (h *resultHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*s = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
 
 // drive places requests at a steady rate and returns each host's share of them.
-func drive(p *Placer, all []lists.Host, from time.Time, length, every time.Duration, answers answer) []float64 {
-	var waiting schedule
+func drive(p *Placer, all []lists.Host, from time.Time, length, every time.Duration, model hostModel) []float64 {
+	var waiting resultHeap
 	index, running := map[string]int{}, make([]int, len(all))
 	for i, h := range all {
 		index[h.Host] = i
@@ -61,21 +62,21 @@
 	shares, total := make([]float64, len(all)), 0.0
 	settle := func(now time.Time) {
 		for len(waiting) > 0 && !waiting[0].at.After(now) {
-			d := heap.Pop(&waiting).(due)
-			running[index[d.place.Host.Host]]--
-			p.Settle(d.at, d.place, "op", d.ending, d.load)
+			d := heap.Pop(&waiting).(pendingResult)
+			running[index[d.placement.Host.Host]]--
+			p.Settle(d.at, d.placement, "op", d.ending, d.load)
 		}
 	}
 	for now := from; now.Before(from.Add(length)); now = now.Add(every) {
 		settle(now)
-		place, ok := p.Pick(now, "s", all, nil)
+		placement, ok := p.Pick(now, "s", all, nil)
 		if !ok {
 			continue
 		}
-		i := index[place.Host.Host]
+		i := index[placement.Host.Host]
 		running[i]++
-		latency, ending, load := answers(i, running[i])
-		heap.Push(&waiting, due{now.Add(latency), place, ending, load})
+		latency, ending, load := model(i, running[i])
+		heap.Push(&waiting, pendingResult{now.Add(latency), placement, ending, load})
 		shares[i]++
 		total++
 	}
@@ -96,44 +97,44 @@
 
 func TestShares(t *testing.T) {
 	cases := []struct {
-		name   string
-		answer answer
-		// least and most bound the share of host 0 of five.
-		least, most float64
+		name  string
+		model hostModel
+		// minShare and maxShare bound the share of host 0 of five.
+		minShare, maxShare float64
 	}{
-		{"a slow host takes no more than its share", func(h, n int) (time.Duration, Ending, call.Load) {
+		{"a slow host gets no more than its share", func(h, n int) (time.Duration, Ending, call.Load) {
 			d, e, l := healthy(h, n)
 			if h == 0 {
 				d *= 10
 			}
 			return d, e, l
 		}, 0.002, 0.1},
-		{"a dead host that fails at once is not filled", func(h, n int) (time.Duration, Ending, call.Load) {
+		{"an unreachable host that fails at once gets few requests", func(h, n int) (time.Duration, Ending, call.Load) {
 			if h == 0 {
 				return ms / 10, Failed, call.Load{}
 			}
 			return healthy(h, n)
 		}, 0.001, 0.05},
-		{"an upstream that fails fast is not filled", func(h, n int) (time.Duration, Ending, call.Load) {
+		{"an upstream that fails fast gets few requests", func(h, n int) (time.Duration, Ending, call.Load) {
 			if h == 0 {
 				return ms / 10, Faulty, call.Load{Limit: 20}
 			}
 			return healthy(h, n)
 		}, 0.001, 0.1},
-		{"a slow host that claims to be idle and huge is not filled", func(h, n int) (time.Duration, Ending, call.Load) {
+		{"a slow host that reports to be idle and large gets no more than its share", func(h, n int) (time.Duration, Ending, call.Load) {
 			if h == 0 {
 				return 50 * ms, Served, call.Load{Limit: 1e9}
 			}
 			return healthy(h, n)
 		}, 0.002, 0.2},
-		{"a healthy host that claims to be full still gets requests", func(h, n int) (time.Duration, Ending, call.Load) {
+		{"a healthy host that reports to be saturated still gets requests", func(h, n int) (time.Duration, Ending, call.Load) {
 			d, e, l := healthy(h, n)
 			if h == 0 {
 				l.Queued = 1e9
 			}
 			return d, e, l
 		}, 0.002, 0.2},
-		{"failures of all hosts alike empty none", func(int, int) (time.Duration, Ending, call.Load) {
+		{"equal failures of all hosts leave the shares equal", func(int, int) (time.Duration, Ending, call.Load) {
 			return 5 * ms, Failed, call.Load{}
 		}, 0.15, 0.25},
 	}
@@ -142,15 +143,15 @@
 			Convey(fmt.Sprintf("%s, a request every %s", c.name, every), t, func() {
 				choose, _ := seeded()
 				p := New("elsewhere", choose)
-				shares := drive(p, hosts(5), start, 30*time.Second, every, c.answer)
-				So(shares[0], ShouldBeBetween, c.least, c.most)
+				shares := drive(p, hosts(5), start, 30*time.Second, every, c.model)
+				So(shares[0], ShouldBeBetween, c.minShare, c.maxShare)
 			})
 		}
 	}
 }
 
 func TestColdHostRampsUp(t *testing.T) {
-	Convey("A host that appears gets little at first and its share in the end", t, func() {
+	Convey("A host that is added gets few requests at first and its full share after the ramp-up", t, func() {
 		choose, _ := seeded()
 		p := New("elsewhere", choose)
 		drive(p, hosts(4), start, 10*time.Second, ms, healthy)
@@ -162,8 +163,8 @@
 	})
 }
 
-func TestDeadHostComesBack(t *testing.T) {
-	Convey("A host that was dead gets its share again once it answers", t, func() {
+func TestDeadHostRecovers(t *testing.T) {
+	Convey("A host that was unreachable gets its share again once it responds", t, func() {
 		choose, _ := seeded()
 		p := New("elsewhere", choose)
 		drive(p, hosts(5), start, 10*time.Second, ms, func(h, n int) (time.Duration, Ending, call.Load) {
@@ -179,12 +180,12 @@
 }
 
 func TestZones(t *testing.T) {
-	Convey("Hosts of the own availability zone are taken while they are as good", t, func() {
+	Convey("Hosts of the daemon's own availability zone are preferred while they are as good", t, func() {
 		choose, _ := seeded()
 		shares := drive(New("a", choose), hosts(6), start, 10*time.Second, 5*ms, healthy)
 		So(shares[0]+shares[3], ShouldBeGreaterThan, 0.8)
 	})
-	Convey("A busy availability zone sends the rest elsewhere", t, func() {
+	Convey("Requests beyond a busy availability zone's capacity go to others", t, func() {
 		choose, _ := seeded()
 		busy := func(_, n int) (time.Duration, Ending, call.Load) {
 			return 5 * ms * time.Duration(max(n, 10)) / 10, Served, call.Load{InFlight: n, Limit: 10}
@@ -194,7 +195,7 @@
 	})
 }
 
-// candidates is the naive choice: all hosts that may be taken.
+// candidates is the naive choice: all hosts that may be chosen.
 func candidates(all []lists.Host, tried []string) map[string]bool {
 	out := map[string]bool{}
 	for _, h := range all {
@@ -222,20 +223,20 @@
 				now = now.Add(ms)
 				var tried []string
 				for range rapid.IntRange(1, 8).Draw(t, "attempts") {
-					may := candidates(all, tried)
-					place, ok := p.Pick(now, "s", all, tried)
-					if ok != (len(may) > 0) || ok && !may[place.Host.Host] {
-						t.Fatalf("picked %q, %v of %v", place.Host.Host, ok, may)
+					allowed := candidates(all, tried)
+					placement, ok := p.Pick(now, "s", all, tried)
+					if ok != (len(allowed) > 0) || ok && !allowed[placement.Host.Host] {
+						t.Fatalf("picked %q, %v of %v", placement.Host.Host, ok, allowed)
 					}
 					if !ok {
 						break
 					}
-					tried = append(tried, place.Host.Host)
-					running[place.Host.Host]++
+					tried = append(tried, placement.Host.Host)
+					running[placement.Host.Host]++
 					if rapid.Bool().Draw(t, "settled") {
 						e := Ending(rapid.IntRange(0, int(Silent)).Draw(t, "ending"))
-						p.Settle(now.Add(ms), place, "op", e, call.Load{Limit: 1})
-						running[place.Host.Host]--
+						p.Settle(now.Add(ms), placement, "op", e, call.Load{Limit: 1})
+						running[placement.Host.Host]--
 					}
 				}
 			}
@@ -244,7 +245,7 @@
 					t.Fatalf("%s has %d in flight, want %d", name, m.inFlight, running[name])
 				}
 			}
-			// A host that leaves the list is forgotten with what it had in flight.
+			// A host that leaves the list is dropped together with its requests in flight.
 			for name := range running {
 				if _, listed := p.group("s").byName[name]; !listed {
 					delete(running, name)
