--- a/internal/decide/pressure/doc.go
+++ b/internal/decide/pressure/doc.go
@@ -1,2 +1,3 @@
-// Package pressure feeds the overload of deep services back up the call chain.
+// Package pressure propagates the overload of services deep in the call chain back to the ingress, which rejects requests that would
+// fail there.
 package pressure
--- a/internal/decide/pressure/doors.go
+++ b/internal/decide/pressure/doors.go
@@ -6,122 +6,121 @@
 	"time"
 )
 
-// Throttles refuses requests that would fail for overload deeper down, before anything is spent on them.
+// Throttles rejects requests at the ingress that would fail for overload deeper in the call chain, before other services work on them.
 //
-// It is for a slow deep service below callers who retry hard. Each request
-// would run at every service above it and then be refused at the last, so that
-// most of the fleet's work is for nothing; and the services above, busy with
-// it, refuse what could succeed. The answers of an organisation's own requests
-// are what counts, not what any host reports of itself: a signal that lies
-// can't close a door, and one organisation's refusals close no other's.
+// Designed for a slow service deep in the chain whose callers retry hard. Each request would run at every service above it and then be
+// refused at the last, so that most of the fleet's work is wasted; and the services above, busy with it, refuse requests that could
+// succeed. Only the responses to an organisation's own requests count, not the load that hosts report: a wrong report can't cause
+// rejections, and the refusals of one organisation's requests don't throttle another.
 type Throttles struct {
-	mu    sync.Mutex
-	doors map[route]*throttle
-	rand  func() float64
+	mu        sync.Mutex
+	throttles map[key]*throttle
+	rand      func() float64
 }
 
-type route struct {
+// key identifies a throttle.
+type key struct {
 	organisation string
 	operation    string
 }
 
-// Option sets one property of doors.
+// Option configures a Throttles.
 type Option func(*Throttles)
 
-// WithRand sets the source of chance, numbers from 0 to 1.
-func WithRand(f func() float64) Option { return func(d *Throttles) { d.rand = f } }
+// WithRand sets the random source, numbers from 0 up to below 1.
+func WithRand(random func() float64) Option { return func(ts *Throttles) { ts.rand = random } }
 
-// most bounds the doors that are kept; each is made by a refusal and ends when its trouble is over.
-const most = 4096
+// maxThrottles bounds the throttles that are kept; a refusal adds one, and it is removed after recovery.
+const maxThrottles = 4096
 
-// New returns doors that are all open.
+// New returns a Throttles that admits all requests.
 func New(opts ...Option) *Throttles {
-	d := &Throttles{doors: map[route]*throttle{}, rand: rand.Float64}
+	ts := &Throttles{throttles: map[key]*throttle{}, rand: rand.Float64}
 	for _, opt := range opts {
-		opt(d)
+		opt(ts)
 	}
-	return d
+	return ts
 }
 
-// Admit reports whether the request may go on; if not, when its caller should come back.
-func (d *Throttles) Admit(now time.Time, organisation, operation string) (time.Duration, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.doors) == 0 {
+// Admit reports whether the request is admitted, and its Retry-After delay if it isn't.
+func (ts *Throttles) Admit(now time.Time, organisation, operation string) (time.Duration, bool) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	if len(ts.throttles) == 0 {
 		return 0, true
 	}
-	t := d.doors[route{organisation, operation}]
+	t := ts.throttles[key{organisation, operation}]
 	if t == nil {
 		return 0, true
 	}
 	t.decay(now)
-	chance := t.refusal()
-	if chance == 0 || d.rand() >= chance {
-		t.unanswered++
-		t.fit()
+	probability := t.rejectProbability()
+	if probability == 0 || ts.rand() >= probability {
+		t.pending++
+		t.adjustHalfLife()
 		return 0, true
 	}
-	t.turned++
-	t.fit()
-	back := time.Duration(float64(t.back) * (jitterLeast + jitterSpread*d.rand()))
-	return min(max(back, leastBack), mostBack), false
+	t.rejected++
+	t.adjustHalfLife()
+	retryAfter := time.Duration(float64(t.retryAfter) * (minJitterFactor + jitterFactorRange*ts.rand()))
+	return min(max(retryAfter, minRetryAfter), maxRetryAfter), false
 }
 
-// jitterLeast and jitterSpread set the random factor of come-back times, 0.75 to 1.25.
+// minJitterFactor and jitterFactorRange set the random factor of Retry-After delays, 0.75 to 1.25.
 const (
-	jitterLeast  = 0.75
-	jitterSpread = 0.5
+	minJitterFactor   = 0.75
+	jitterFactorRange = 0.5
 )
 
-// Report takes in how an admitted request ended: the pressure that came back
-// with its answer, 0 to 1, and when its caller was told to come back.
-func (d *Throttles) Report(now time.Time, organisation, operation string, pressure float64, back time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	r := route{organisation, operation}
-	t := d.doors[r]
+// Report records the result of an admitted request: the pressure that its response carried, 0 to 1, and the Retry-After delay that its
+// caller received.
+func (ts *Throttles) Report(now time.Time, organisation, operation string, pressure float64, retryAfter time.Duration) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	k := key{organisation, operation}
+	t := ts.throttles[k]
 	if t == nil {
 		if pressure == 0 {
 			return
 		}
-		t = d.open(now, r)
+		t = ts.add(now, k)
 	}
 	t.decay(now)
-	t.answer(now, min(max(pressure, 0), 1))
-	if pressure > 0 && back > 0 {
-		t.back = back
+	t.recordResponse(now, min(max(pressure, 0), 1))
+	if pressure > 0 && retryAfter > 0 {
+		t.retryAfter = retryAfter
 	}
-	if pressure == 0 && t.over(now) {
-		delete(d.doors, r)
+	if pressure == 0 && t.recovered(now) {
+		delete(ts.throttles, k)
 	}
 }
 
-// open makes the door of a first refusal.
-func (d *Throttles) open(now time.Time, r route) *throttle {
-	if len(d.doors) >= most {
-		d.sweep(now)
+// add adds the throttle of a first refusal.
+func (ts *Throttles) add(now time.Time, k key) *throttle {
+	if len(ts.throttles) >= maxThrottles {
+		ts.removeUnused(now)
 	}
-	t := &throttle{at: now, halfLife: shortest}
-	d.doors[r] = t
+	t := &throttle{updatedAt: now, halfLife: minHalfLife}
+	ts.throttles[k] = t
 	return t
 }
 
-// sweep ends the doors that nobody has come to lately, or all if there is none such.
-func (d *Throttles) sweep(now time.Time) {
-	for r, t := range d.doors {
+// removeUnused removes the throttles without recent requests, or all throttles if the bound is still exceeded.
+func (ts *Throttles) removeUnused(now time.Time) {
+	for k, t := range ts.throttles {
 		t.decay(now)
-		if t.asked() < 1 {
-			delete(d.doors, r)
+		if t.requests() < 1 {
+			delete(ts.throttles, k)
 		}
 	}
-	if len(d.doors) >= most {
-		clear(d.doors)
+	if len(ts.throttles) >= maxThrottles {
+		clear(ts.throttles)
 	}
 }
 
-// Len returns how many doors are not fully open.
-func (d *Throttles) Len() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.doors)
+// Len returns the number of throttles.
+func (ts *Throttles) Len() int {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	return len(ts.throttles)
 }
--- a/internal/decide/pressure/throttle.go
+++ b/internal/decide/pressure/throttle.go
@@ -5,115 +5,108 @@
 	"time"
 )
 
-// throttle compares what was asked for with what succeeded, both over a short
-// past, and lets through somewhat more than that.
+// throttle compares the recent requests with the recent successes, and admits a multiple of the successes.
 //
-// All counts fade. What was let through and has no answer yet is taken to end as
-// the answered requests did: taken for failures, a burst at an idle service would
-// be refused in part on the word of a refusal long past.
+// All counts decay. Pending requests are expected to end as the answered ones did: if they counted as failures, part of a burst at an
+// idle service would be rejected because of a refusal long past.
 type throttle struct {
 	succeeded  float64
 	failed     float64
-	turned     float64
-	unanswered float64
-	at         time.Time
+	rejected   float64
+	pending    float64
+	updatedAt  time.Time
 	halfLife   time.Duration
-	back       time.Duration
-	// failedAt is when the last failure came, and streak counts the successes since.
-	failedAt time.Time
-	streak   int
+	retryAfter time.Duration
+	// failedAt is the time of the last failure, and successStreak counts the successes since.
+	failedAt      time.Time
+	successStreak int
 }
 
 const (
-	// headroom is how much more than the recent successes is let through. It
-	// bounds the work that may fail deep down while overload lasts, and finds
-	// out that it has ended: successes then double each memory time. With less
-	// of it, failures that have nothing to do with how much is sent, two in
-	// five of them, would close a door for good.
-	headroom = 2
-	// shortest and longest bound the half-life of the memory. A long one keeps
-	// doors shut after the trouble; a short one forgets rare requests before
-	// they add up to anything.
-	shortest = 120 * time.Millisecond
-	longest  = time.Second
-	// remembered is the number of requests whose time the half-life covers between these bounds.
-	remembered = 6
-	// free is what may be asked for without any success, so that rare work is
-	// never refused here and a service that was down is found again.
-	free = 2
-	// sure is how many failures must be remembered for a door to refuse all that
-	// is in excess. With fewer it refuses in proportion: requests turned away at
-	// the door are no evidence that those behind them would fail, and would else
-	// keep it shut after the trouble for as long as callers come.
-	sure = 1
-	// proven is how many successes in a row, with no failure for a half-life,
-	// end the door. While overload lasts, half of what a door lets through
-	// fails, so that such a row comes by chance once in 16; the half-life keeps
-	// answers that came together, from work taken in before, from ending it.
-	proven = 4
-	// leastBack and mostBack bound when a refused caller is told to come back.
-	leastBack = 20 * time.Millisecond
-	mostBack  = 2 * time.Second
+	// successMultiplier is the ratio of admitted requests to recent successes. It bounds the work that may fail deep in the chain during
+	// overload, and detects its end: the successes then double every half-life. With a lower value, failures that don't depend on the
+	// load, two in five of them, would cause rejections for good.
+	successMultiplier = 2
+	// minHalfLife and maxHalfLife bound the half-life of the counts. A long one causes rejections after the overload has ended; a short one
+	// drops rare requests before they add up to anything.
+	minHalfLife = 120 * time.Millisecond
+	maxHalfLife = time.Second
+	// halfLifeRequests is the number of requests that one half-life covers, within these bounds.
+	halfLifeRequests = 6
+	// freeRequests is the number of recent requests that are admitted without any success, so that rare requests are never rejected and
+	// the recovery of a service is noticed.
+	freeRequests = 2
+	// minFailures is the number of recent failures from which all excess requests are rejected. With fewer the rejections are in proportion:
+	// rejected requests are no evidence that the next ones would fail, and would otherwise cause rejections after the overload for as long
+	// as callers retry.
+	minFailures = 1
+	// recoveryStreak is the number of consecutive successes, with no failure for a half-life, after which the throttle is removed. During
+	// overload half of the admitted requests fail, so that such a streak comes by chance once in 16; the half-life keeps simultaneous
+	// responses to requests accepted earlier from removing it.
+	recoveryStreak = 4
+	// minRetryAfter and maxRetryAfter bound the Retry-After delay of rejected requests.
+	minRetryAfter = 20 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
 func (t *throttle) decay(now time.Time) {
-	elapsed := now.Sub(t.at)
+	elapsed := now.Sub(t.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
 	factor := math.Exp2(-float64(elapsed) / float64(t.halfLife))
 	t.succeeded *= factor
 	t.failed *= factor
-	t.turned *= factor
-	t.unanswered *= factor
-	t.at = now
+	t.rejected *= factor
+	t.pending *= factor
+	t.updatedAt = now
 }
 
-// asked is all that was asked for.
-func (t *throttle) asked() float64 { return t.succeeded + t.failed + t.turned + t.unanswered }
+// requests returns the decayed count of all requests.
+func (t *throttle) requests() float64 { return t.succeeded + t.failed + t.rejected + t.pending }
 
-// fit moves the half-life towards the time that the remembered number of requests takes.
-func (t *throttle) fit() {
-	held := t.asked() * math.Ln2 / remembered
-	fitted := time.Duration(float64(t.halfLife) * (1 + fitting*(1/max(held, leastHeld)-1)))
-	t.halfLife = min(max(fitted, shortest), longest)
+// adjustHalfLife moves the half-life towards the time in which halfLifeRequests arrive.
+func (t *throttle) adjustHalfLife() {
+	requestRatio := t.requests() * math.Ln2 / halfLifeRequests
+	adjusted := time.Duration(float64(t.halfLife) * (1 + halfLifeWeight*(1/max(requestRatio, minRequestRatio)-1)))
+	t.halfLife = min(max(adjusted, minHalfLife), maxHalfLife)
 }
 
-// fitting is how far one request moves the half-life, and leastHeld bounds how much it may grow by it.
+// halfLifeWeight is the weight of one request in the half-life, and minRequestRatio bounds its growth by one request.
 const (
-	fitting   = 0.1
-	leastHeld = 0.5
+	halfLifeWeight  = 0.1
+	minRequestRatio = 0.5
 )
 
-// answer takes in how a request that was let through ended, with 0 to 1 of it failed.
-func (t *throttle) answer(now time.Time, failed float64) {
-	t.unanswered = max(0, t.unanswered-1)
+// recordResponse records the result of an admitted request; failed is the part of it that failed, 0 to 1.
+func (t *throttle) recordResponse(now time.Time, failed float64) {
+	t.pending = max(0, t.pending-1)
 	t.failed += failed
 	t.succeeded += 1 - failed
 	if failed > 0 {
-		t.failedAt, t.streak = now, 0
+		t.failedAt, t.successStreak = now, 0
 		return
 	}
-	t.streak++
+	t.successStreak++
 }
 
-// refusal returns the chance with which the next request is refused.
-func (t *throttle) refusal() float64 {
-	failing := t.failed / (t.failed + t.succeeded + 1)
-	succeeding := t.succeeded + t.unanswered*(1-failing)
-	asked := t.asked()
-	excess := (asked - headroom*succeeding - free) / (asked + 1)
-	return max(0, excess) * min(1, t.failed/sure)
+// rejectProbability returns the probability with which the next request is rejected.
+func (t *throttle) rejectProbability() float64 {
+	failureRate := t.failed / (t.failed + t.succeeded + 1)
+	expectedSuccesses := t.succeeded + t.pending*(1-failureRate)
+	requests := t.requests()
+	excess := (requests - successMultiplier*expectedSuccesses - freeRequests) / (requests + 1)
+	return max(0, excess) * min(1, t.failed/minFailures)
 }
 
-// over reports whether the trouble has passed: nearly all that is asked for
-// succeeds again, or nothing has failed for a while and what was let through succeeded.
-func (t *throttle) over(now time.Time) bool {
-	if asked := t.asked(); asked > free && t.succeeded >= asked*settled {
+// recovered reports whether the overload has ended: nearly all requests succeed again, or nothing has failed for a while and the admitted
+// requests succeeded.
+func (t *throttle) recovered(now time.Time) bool {
+	if requests := t.requests(); requests > freeRequests && t.succeeded >= requests*recoveredFraction {
 		return true
 	}
-	return t.streak >= proven && now.Sub(t.failedAt) >= t.halfLife
+	return t.successStreak >= recoveryStreak && now.Sub(t.failedAt) >= t.halfLife
 }
 
-// settled allows for requests that are asked for and not yet answered.
-const settled = 0.9
+// recoveredFraction is the fraction of requests that must have succeeded; the rest allows for pending ones.
+const recoveredFraction = 0.9
