--- a/internal/decide/budget/account.go
+++ b/internal/decide/budget/account.go
@@ -4,120 +4,114 @@
 
 // Account holds the runs that one request may still cause below one hop.
 //
-// It is for a deep chain whose hops each retry: per-hop retries multiply, so a
-// slow deep service would see its load grow by the power of the depth. Every
-// run is drawn from what came in with the request, and what was handed to an
-// attempt whose answer got lost stays lost.
+// Designed for a deep call chain whose hops each retry: retries per hop multiply, so the load on a slow service deep in the chain would
+// grow exponentially with its depth. Every run is drawn from the budget that came in with the request, and the runs given to an attempt
+// whose response was lost are not returned.
 type Account struct {
 	mu   sync.Mutex
 	left int
-	out  int
-	// reserve is what calls not made yet are likely to need.
-	reserve int
-	closed  bool
+	// outstanding is the number of attempts that have drawn runs and not been settled.
+	outstanding int
+	// expectedNeed is the number of runs that sub-calls not made yet are likely to need.
+	expectedNeed int
+	closed       bool
+	// changed is closed when runs may have been returned; nil while no attempt waits.
 	changed chan struct{}
 }
 
-// spareShare of spareParts is how much of its own part of the spare runs one
-// draw may take beyond its need, for repeats below it. The rest is left for its
-// own repeat, since what it takes is lost with its answer.
+// spareNumerator over spareDenominator is the fraction of its proportional part of the spare runs that one draw may take beyond its
+// need, for retries below it. The rest is left for its own retry, since the runs that it takes are lost with its response.
 const (
-	spareShare = 3
-	spareParts = 4
+	spareNumerator   = 3
+	spareDenominator = 4
 )
 
 // New returns an account with the given number of runs.
 func New(runs int) *Account { return &Account{left: max(runs, 0)} }
 
-// NewFor returns an account whose calls are likely to need so many runs in all.
+// NewFor returns an account whose sub-calls are likely to need the expected number of runs in total.
 //
-// An upstream may make several calls side by side. The first, which knows of no
-// other, would take the spare runs that the last one lacks.
+// An upstream may make several sub-calls concurrently. Without the total, the first would take the spare runs that the last one lacks.
 func NewFor(runs, expected int) *Account {
-	return &Account{left: max(runs, 0), reserve: max(expected, 0)}
+	return &Account{left: max(runs, 0), expectedNeed: max(expected, 0)}
 }
 
-// Left returns the runs not yet drawn.
+// Left returns the number of runs not yet drawn.
 func (a *Account) Left() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.left
 }
 
-// Draw takes runs for one attempt that is likely to need so many, its own run
-// included; Settle must follow. A channel in place of runs means that another
-// attempt holds what is missing: it closes when something has come back. No
-// runs and no channel mean that the account is spent.
+// Draw takes runs for one attempt that is likely to need so many, including its own run; Settle must follow. A channel instead of runs
+// means that other attempts hold the missing runs: it is closed when some may have been returned. Neither runs nor a channel means that
+// the account is spent.
 //
-// A first call that took everything would starve the calls made beside it, and
-// equal parts would starve a deep chain, where one call needs all that is left.
-// So a draw takes its need, and up to as much again for repeats where there is spare.
-// One that finds too little waits for its siblings: the runs that they do not
-// use come back, while a call sent with too few fails deep down, after the
-// work above it was done.
+// A first sub-call that took everything would starve concurrent ones, and equal parts would starve a deep chain, where one sub-call needs
+// all that is left. So a draw takes its need, and up to as much again for retries if there are spare runs. One that finds too little
+// waits for the concurrent attempts to return the runs that they don't use: a sub-call sent with too few fails deep in the chain, after
+// the work above it was done.
 func (a *Account) Draw(need int) (int, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	need = max(need, 1)
-	if a.closed || a.left == 0 && a.out == 0 {
+	if a.closed || a.left == 0 && a.outstanding == 0 {
 		return 0, nil
 	}
-	if a.left < need && a.out > 0 {
+	if a.left < need && a.outstanding > 0 {
 		if a.changed == nil {
 			a.changed = make(chan struct{})
 		}
 		return 0, a.changed
 	}
-	runs := min(a.left, need+a.extra(need))
-	a.reserve = max(a.reserve-need, 0)
+	runs := min(a.left, need+a.spareFor(need))
+	a.expectedNeed = max(a.expectedNeed-need, 0)
 	a.left -= runs
-	a.out++
+	a.outstanding++
 	return runs, nil
 }
 
-// extra returns the runs that an attempt takes for repeats below it: its part of
-// the spare, as its need is a part of what calls not yet made are likely to need.
+// spareFor returns the runs that an attempt takes for retries below it: its proportional part of the spare runs, by its need relative to
+// the expected need.
 //
-// With too few, a lost answer deep down fails the attempt, and the work that the
-// calls beside it have done is done again for the whole request. A run that
-// makes no calls has no repeats below: more than itself would be lost with its answer.
-func (a *Account) extra(need int) int {
+// With too few, a lost response deep in the chain fails the attempt, and the work of concurrent sub-calls is repeated when the whole
+// request is retried. A run without sub-calls has no retries below it: any runs beyond its own would only be lost with its response.
+func (a *Account) spareFor(need int) int {
 	if need == 1 {
 		return 0
 	}
-	expected := max(need, a.reserve)
+	expected := max(need, a.expectedNeed)
 	spare := max(a.left-expected, 0)
-	return min(need, spare*need*spareShare/(spareParts*expected))
+	return min(need, spare*need*spareNumerator/(spareDenominator*expected))
 }
 
-// Settle ends an attempt that drew runs and gives back what its answer says is
-// unused. A lost answer gives back none: its runs may still happen.
+// Settle ends an attempt that drew runs and returns those that its response reports as unused. A lost response returns none, since its
+// runs may still happen.
 func (a *Account) Settle(drawn, unused int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.out--
+	a.outstanding--
 	if !a.closed {
 		a.left += min(max(unused, 0), drawn)
 	}
-	a.wake()
+	a.notifyWaiters()
 }
 
-// Close ends the account and returns what is left of it.
+// Close closes the account and returns the runs that are left.
 //
-// An upstream may answer while calls of its own are still being repeated. What
-// is left then goes back up with the answer, and a repeat that could still draw
-// here would spend the same runs twice.
+// An upstream may respond while its own sub-calls are still being retried. The runs that are left then go back with the response, and a
+// retry that could still draw from the account would spend the same runs twice.
 func (a *Account) Close() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	left := a.left
 	a.left = 0
 	a.closed = true
-	a.wake()
+	a.notifyWaiters()
 	return left
 }
 
-func (a *Account) wake() {
+func (a *Account) notifyWaiters() {
 	if a.changed != nil {
 		close(a.changed)
 		a.changed = nil
--- a/internal/decide/budget/chain_test.go
+++ b/internal/decide/budget/chain_test.go
@@ -9,85 +9,85 @@
 	"pgregory.net/rapid"
 )
 
-const tries = 3
+const maxAttempts = 3
 
-// tree is a request's call graph: the same shape and faults for both ways of repeating.
-type tree struct {
+// callGraph is a request's call graph: the same shape and faults with the budget and with retries per hop.
+type callGraph struct {
 	seed   uint64
 	depth  int
 	fanOut int
-	// lost and refused are the chances of an attempt in 100.
+	// lost and refused are the probabilities in percent that an attempt's response is lost, or the attempt refused.
 	lost, refused int
 	runs          atomic.Int64
 }
 
-// fate is what happens to one attempt.
-type fate struct {
+// attemptResult is whether an attempt runs and whether its response arrives.
+type attemptResult struct {
 	runs, answered bool
 }
 
-func (t *tree) fate(path uint64) fate {
-	r := rand.New(rand.NewPCG(t.seed, path))
+func (g *callGraph) attempt(path uint64) attemptResult {
+	r := rand.New(rand.NewPCG(g.seed, path))
 	switch n := r.IntN(100); {
-	case n < t.lost:
-		return fate{runs: r.IntN(2) == 0}
-	case n < t.lost+t.refused:
-		return fate{answered: true}
+	case n < g.lost:
+		return attemptResult{runs: r.IntN(2) == 0}
+	case n < g.lost+g.refused:
+		return attemptResult{answered: true}
 	default:
-		return fate{runs: true, answered: true}
+		return attemptResult{runs: true, answered: true}
 	}
 }
 
-func (t *tree) children(path uint64, depth int) int {
-	if depth >= t.depth {
+func (g *callGraph) children(path uint64, depth int) int {
+	if depth >= g.depth {
 		return 0
 	}
-	return 1 + rand.New(rand.NewPCG(path, t.seed)).IntN(t.fanOut)
+	return 1 + rand.New(rand.NewPCG(path, g.seed)).IntN(g.fanOut)
 }
 
-func child(path uint64, call, attempt int) uint64 {
-	return path*1_000_003 + uint64(call*tries+attempt) + 1
+func childPath(path uint64, call, attempt int) uint64 {
+	return path*1_000_003 + uint64(call*maxAttempts+attempt) + 1
 }
 
-// budgeted runs one hop's call with what it may draw from the account above it.
-func (t *tree) budgeted(above *Account, needs *Needs, path uint64, call, depth int) bool {
-	for attempt := range tries {
-		runs, wait := above.Draw(needs.Expect("op", depth))
+// callWithBudget makes one sub-call with the runs that it may draw from its parent's account.
+func (g *callGraph) callWithBudget(parent *Account, needs *Needs, path uint64, call, depth int) bool {
+	for attempt := range maxAttempts {
+		runs, wait := parent.Draw(needs.Expect("op", depth))
 		for wait != nil {
 			<-wait
-			runs, wait = above.Draw(needs.Expect("op", depth))
+			runs, wait = parent.Draw(needs.Expect("op", depth))
 		}
 		if runs == 0 {
 			return false
 		}
-		p := child(path, call, attempt)
-		f := t.fate(p)
-		left, ok := runs, false
-		if f.runs {
-			left, ok = t.run(runs-1, needs, p, depth)
+		attemptPath := childPath(path, call, attempt)
+		result := g.attempt(attemptPath)
+		unused, ok := runs, false
+		if result.runs {
+			unused, ok = g.run(runs-1, needs, attemptPath, depth)
 		}
-		if !f.answered {
-			above.Settle(runs, 0)
+		if !result.answered {
+			parent.Settle(runs, 0)
 			continue
 		}
-		above.Settle(runs, left)
-		needs.Learn("op", runs, runs-left, ok)
-		if f.runs {
+		parent.Settle(runs, unused)
+		needs.Learn("op", runs, runs-unused, ok)
+		if result.runs {
 			return ok
 		}
 	}
 	return false
 }
 
-// run is one upstream run, which makes all its calls at once.
-func (t *tree) run(budget int, needs *Needs, path uint64, depth int) (int, bool) {
-	t.runs.Add(1)
+// run is one upstream run, which makes all its sub-calls at once.
+func (g *callGraph) run(budget int, needs *Needs, path uint64, depth int) (int, bool) {
+	g.runs.Add(1)
 	account := New(budget)
 	var all sync.WaitGroup
 	var failed atomic.Bool
-	for call := range t.children(path, depth) {
+	for call := range g.children(path, depth) {
 		all.Go(func() {
-			if !t.budgeted(account, needs, path, call, depth+1) {
+			if !g.callWithBudget(account, needs, path, call, depth+1) {
 				failed.Store(true)
 			}
 		})
@@ -96,18 +96,18 @@
 	return account.Close(), !failed.Load()
 }
 
-// naive is the same with three tries at each hop and no budget; it stops counting at a bound.
-func (t *tree) naive(path uint64, call, depth int, bound int64) bool {
-	for attempt := range tries {
-		p := child(path, call, attempt)
-		f := t.fate(p)
+// callNaively makes one sub-call with three attempts at each hop and no budget; it stops counting at a bound.
+func (g *callGraph) callNaively(path uint64, call, depth int, bound int64) bool {
+	for attempt := range maxAttempts {
+		attemptPath := childPath(path, call, attempt)
+		result := g.attempt(attemptPath)
 		ok := true
-		if f.runs && t.runs.Add(1) < bound {
-			for c := range t.children(p, depth) {
-				ok = t.naive(p, c, depth+1, bound) && ok
+		if result.runs && g.runs.Add(1) < bound {
+			for c := range g.children(attemptPath, depth) {
+				ok = g.callNaively(attemptPath, c, depth+1, bound) && ok
 			}
 		}
-		if f.answered && f.runs && ok || t.runs.Load() >= bound {
+		if result.answered && result.runs && ok || g.runs.Load() >= bound {
 			return ok
 		}
 	}
@@ -116,37 +116,37 @@
 
 func TestRunsNeverExceedTheBudget(t *testing.T) {
 	const bound = 5000
-	var worse, trials int
+	var exceeded, trials int
 	rapid.Check(t, func(t *rapid.T) {
 		budget := rapid.IntRange(1, 200).Draw(t, "budget")
-		tr := tree{
+		graph := callGraph{
 			seed: rapid.Uint64().Draw(t, "seed"), depth: rapid.IntRange(0, MaxDepth-1).Draw(t, "depth"),
 			fanOut: rapid.IntRange(1, 4).Draw(t, "fan-out"),
 			lost:   rapid.IntRange(0, 50).Draw(t, "lost"), refused: rapid.IntRange(0, 50).Draw(t, "refused"),
 		}
 		account := New(budget)
-		tr.budgeted(account, NewNeeds(), 1, 0, 0)
-		if runs := tr.runs.Load(); runs > int64(budget) {
+		graph.callWithBudget(account, NewNeeds(), 1, 0, 0)
+		if runs := graph.runs.Load(); runs > int64(budget) {
 			t.Fatalf("%d runs with a budget of %d", runs, budget)
 		}
-		tr.runs.Store(0)
-		tr.naive(1, 0, 0, bound)
+		graph.runs.Store(0)
+		graph.callNaively(1, 0, 0, bound)
 		trials++
-		if tr.runs.Load() > int64(budget) {
-			worse++
+		if graph.runs.Load() > int64(budget) {
+			exceeded++
 		}
 	})
-	t.Logf("with three tries a hop, %d of %d trials ran more often than the budget", worse, trials)
-	if worse == 0 {
+	t.Logf("with three attempts per hop, %d of %d trials ran more often than the budget", exceeded, trials)
+	if exceeded == 0 {
 		t.Fatal("the naive model never exceeded the budget, so the trials show nothing")
 	}
 }
 
 func TestFaultlessChainsSucceed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tr := tree{seed: rapid.Uint64().Draw(t, "seed"), depth: rapid.IntRange(0, MaxDepth-1).Draw(t, "depth"), fanOut: 1}
-		if !tr.budgeted(New(MaxDepth), NewNeeds(), 1, 0, 0) {
-			t.Fatalf("a chain of %d failed with a budget of %d", tr.depth+1, MaxDepth)
+		graph := callGraph{seed: rapid.Uint64().Draw(t, "seed"), depth: rapid.IntRange(0, MaxDepth-1).Draw(t, "depth"), fanOut: 1}
+		if !graph.callWithBudget(New(MaxDepth), NewNeeds(), 1, 0, 0) {
+			t.Fatalf("a chain of %d failed with a budget of %d", graph.depth+1, MaxDepth)
 		}
 	})
 }
