--- a/internal/app/daemon/dispatch.go
+++ b/internal/app/daemon/dispatch.go
@@ -32,7 +32,7 @@
 	case a.origin != nil:
 		a.origin.exit(time.Now(), answer.Load.Pressure)
 	case answer.Reason != call.Cancelled:
-		d.doors.Report(time.Now(), a.request.Organisation, a.request.Operation, answer.Load.Pressure, answer.RetryAfter)
+		d.doors.Observe(time.Now(), a.request.Organisation, a.request.Operation, answer.Load.Pressure, answer.RetryAfter)
 	}
 	return answer
 }
@@ -150,7 +150,7 @@
 	case a.Outcome == call.Whole && a.Status < statusFault:
 		return placing.Served
 	case a.Outcome == call.Whole && a.Load.Pressure > 0:
-		return placing.Silent
+		return placing.Inconclusive
 	case a.Outcome == call.Whole:
 		return placing.Faulty
 	case a.Reason.Overload():
@@ -158,7 +158,7 @@
 	case a.Reason == call.NoUpstream, a.Reason == call.Draining, a.Reason == call.AnswerLost:
 		return placing.Failed
 	default:
-		return placing.Silent
+		return placing.Inconclusive
 	}
 }
 
--- a/internal/app/daemon/door_test.go
+++ b/internal/app/daemon/door_test.go
@@ -50,7 +50,7 @@
 	d.rates = &rates{daemon: d, borrower: borrower, seeks: newSeeks()}
 	for range 20 {
 		if shut {
-			d.doors.Report(now, "dealer", "lookup.read", 1, time.Second)
+			d.doors.Observe(now, "dealer", "lookup.read", 1, time.Second)
 			d.doors.Admit(now, "dealer", "lookup.read")
 		}
 	}
--- a/internal/decide/admission/hotpath_test.go
+++ b/internal/decide/admission/hotpath_test.go
@@ -53,7 +53,7 @@
 					placer.Settle(now, placement, "op", placing.Served, gate.Load())
 					account.Settle(runs, runs)
 					needs.Learn("op", runs, 1, true)
-					throttles.Report(now, name, "op", 0, 0)
+					throttles.Observe(now, name, "op", 0, 0)
 				}
 			})
 		}
--- a/internal/decide/placing/ending_string.go
+++ b/internal/decide/placing/ending_string.go
@@ -12,7 +12,7 @@
 	_ = x[Faulty-1]
 	_ = x[Declined-2]
 	_ = x[Failed-3]
-	_ = x[Silent-4]
+	_ = x[Inconclusive-4]
 }
 
 const _Ending_name = "servedfaultydeclinedfailedsilent"
--- a/internal/decide/placing/kind.go
+++ b/internal/decide/placing/kind.go
@@ -32,6 +32,6 @@
 	Declined // declined
 	// Failed means that the host was unreachable or its response was incomplete.
 	Failed // failed
-	// Silent means that the result carries no information on the host.
-	Silent // silent
+	// Inconclusive means that the result carries no information on the host.
+	Inconclusive // silent
 )
--- a/internal/decide/placing/placer.go
+++ b/internal/decide/placing/placer.go
@@ -52,8 +52,8 @@
 // WithRegion sets the daemon's region, whose hosts take precedence over all others; without it the region is ignored.
 func WithRegion(region string) Option { return func(p *Placer) { p.position.region = region } }
 
-// WithChoose sets the random source, integers from 0 up to below n.
-func WithChoose(randIntN func(n int) int) Option { return func(p *Placer) { p.randIntN = randIntN } }
+// WithRandIntN sets the random source, integers from 0 up to below n.
+func WithRandIntN(randIntN func(n int) int) Option { return func(p *Placer) { p.randIntN = randIntN } }
 
 // New returns a placer for a daemon in the availability zone.
 func New(zone string, opts ...Option) *Placer {
--- a/internal/decide/placing/placer_test.go
+++ b/internal/decide/placing/placer_test.go
@@ -25,7 +25,7 @@
 
 func seeded() (Option, *rand.Rand) {
 	r := rand.New(rand.NewPCG(3, 4))
-	return WithChoose(r.IntN), r
+	return WithRandIntN(r.IntN), r
 }
 
 // hostModel returns the latency, result and reported load of a request, given the host and how many requests it is running.
@@ -234,7 +234,7 @@
 					tried = append(tried, placement.Host.Host)
 					running[placement.Host.Host]++
 					if rapid.Bool().Draw(t, "settled") {
-						e := Ending(rapid.IntRange(0, int(Silent)).Draw(t, "ending"))
+						e := Ending(rapid.IntRange(0, int(Inconclusive)).Draw(t, "ending"))
 						p.Settle(now.Add(ms), placement, "op", e, call.Load{Limit: 1})
 						running[placement.Host.Host]--
 					}
--- a/internal/decide/pressure/doors.go
+++ b/internal/decide/pressure/doors.go
@@ -72,9 +72,9 @@
 	jitterFactorRange = 0.5
 )
 
-// Report records the result of an admitted request: the pressure that its response carried, 0 to 1, and the Retry-After delay that its
+// Observe records the result of an admitted request: the pressure that its response carried, 0 to 1, and the Retry-After delay that its
 // caller received.
-func (ts *Throttles) Report(now time.Time, organisation, operation string, pressure float64, retryAfter time.Duration) {
+func (ts *Throttles) Observe(now time.Time, organisation, operation string, pressure float64, retryAfter time.Duration) {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
 	k := key{organisation, operation}
--- a/internal/decide/pressure/doors_test.go
+++ b/internal/decide/pressure/doors_test.go
@@ -21,7 +21,7 @@
 	total := 0.0
 	for now := from; now.Before(from.Add(length)); now = now.Add(ms) {
 		for len(waiting) > 0 && !waiting[0].at.After(now) {
-			throttles.Report(now, "o", "op", waiting[0].pressure, 50*ms)
+			throttles.Observe(now, "o", "op", waiting[0].pressure, 50*ms)
 			waiting = waiting[1:]
 		}
 		total++
@@ -97,7 +97,7 @@
 	Convey("The number of throttles is bounded", t, func() {
 		throttles := New()
 		for i := range 3 * maxThrottles {
-			throttles.Report(start, "o", string(rune(i)), 1, 0)
+			throttles.Observe(start, "o", string(rune(i)), 1, 0)
 		}
 		So(throttles.Len(), ShouldBeLessThanOrEqualTo, maxThrottles)
 	})
@@ -132,13 +132,13 @@
 				throttles.Admit(now, "o", "op")
 			}
 			for range c.sent - c.succeed {
-				throttles.Report(now.Add(ms), "o", "op", 1, 50*ms)
+				throttles.Observe(now.Add(ms), "o", "op", 1, 50*ms)
 			}
 			for i := range c.succeed {
 				if i%4 == 0 {
 					now = now.Add(50 * ms)
 				}
-				throttles.Report(now, "o", "op", 0, 0)
+				throttles.Observe(now, "o", "op", 0, 0)
 			}
 			now = now.Add(c.pause)
 			refused := 0
--- a/internal/load/chain/host.go
+++ b/internal/load/chain/host.go
@@ -58,7 +58,7 @@
 		instance: &instance{clock: &f.clock, random: f.random, service: s, slow: 1},
 		needs:    budget.NewNeeds(),
 		below:    budget.NewNeeds(),
-		placer:   placing.New("", placing.WithKind(f.policy.Placing), placing.WithChoose(f.random.IntN)),
+		placer:   placing.New("", placing.WithKind(f.policy.Placing), placing.WithRandIntN(f.random.IntN)),
 		doors:    pressure.New(pressure.WithRand(f.random.Float64)),
 	}
 	ceiling := int(float64(s.Slots) * f.policy.Ceiling)
@@ -97,7 +97,7 @@
 		}
 	}
 	h.dispatch(r, budget.New(h.fleet.policy.Budget), func(a answer) {
-		h.doors.Report(h.fleet.clock.Now, organisation, r.operation.Name, a.pressure, a.back)
+		h.doors.Observe(h.fleet.clock.Now, organisation, r.operation.Name, a.pressure, a.back)
 		done(a)
 	})
 }
@@ -191,7 +191,7 @@
 	case a.notRun:
 		return placing.Declined
 	case a.pressure > 0:
-		return placing.Silent
+		return placing.Inconclusive
 	default:
 		return placing.Failed
 	}
