--- a/internal/decide/admission/hotpath_test.go
+++ b/internal/decide/admission/hotpath_test.go
@@ -74,13 +74,13 @@
 			for i := range tickets {
 				waiters[i] = servedWaiter{&tickets[i], served}
 			}
-			arrive := func(at, name int) {
-				t := &tickets[at]
+			arrive := func(slot, organisation int) {
+				t := &tickets[slot]
 				*t = admission.Ticket{
-					Organisation: names[name%organisationCount], Operation: "op", Weight: 1,
-					Deadline: now.Add(time.Hour), Priority: call.Priority(name % call.Priorities),
+					Organisation: names[organisation%organisationCount], Operation: "op", Weight: 1,
+					Deadline: now.Add(time.Hour), Priority: call.Priority(organisation % call.Priorities),
 				}
-				t.Waiter = waiters[at]
+				t.Waiter = waiters[slot]
 				if gate.Arrive(now, t).Verdict == admission.Run {
 					served <- t
 				}
--- a/internal/decide/lineage/runs_test.go
+++ b/internal/decide/lineage/runs_test.go
@@ -37,8 +37,8 @@
 
 func TestCallsWithShorterDeadline(t *testing.T) {
 	// Guards against attributing sub-calls to runs that don't make them. Uploads and range reads run on the same instance, and only reads
-	// make sub-calls, with shorter timeouts than their parents have. Attributed to uploads, they would make the ingress reject uploads
-	// when the service that only reads use is saturated.
+	// make sub-calls, with shorter timeouts than their parents have, so that no deadline matches. Attributed to uploads, they would make
+	// the ingress reject uploads when the service that only reads use is saturated.
 	Convey("They are attributed to runs of the routes that make them", t, func() {
 		r := New()
 		rng := rand.New(rand.NewPCG(1, 2))
