--- a/internal/app/daemon/dispatch.go
+++ b/internal/app/daemon/dispatch.go
@@ -32,7 +32,7 @@
 	case a.parent != nil:
 		a.parent.callEnded(time.Now(), answer.Load.Pressure)
 	case answer.Reason != call.Cancelled:
-		d.throttles.Report(time.Now(), a.request.Organisation, a.request.Operation, answer.Load.Pressure, answer.RetryAfter)
+		d.throttles.Observe(time.Now(), a.request.Organisation, a.request.Operation, answer.Load.Pressure, answer.RetryAfter)
 	}
 	return answer
 }
@@ -151,7 +151,7 @@
 	case a.Outcome == call.Whole && a.Status < minFaultStatus:
 		return placing.Served
 	case a.Outcome == call.Whole && a.Load.Pressure > 0:
-		return placing.Silent
+		return placing.Inconclusive
 	case a.Outcome == call.Whole:
 		return placing.Faulty
 	case a.Reason.Overload():
@@ -159,7 +159,7 @@
 	case a.Reason == call.NoUpstream, a.Reason == call.Draining, a.Reason == call.AnswerLost:
 		return placing.Failed
 	default:
-		return placing.Silent
+		return placing.Inconclusive
 	}
 }
 
--- a/internal/app/daemon/door_test.go
+++ b/internal/app/daemon/door_test.go
@@ -51,7 +51,7 @@
 	d.rateLimiter = &rateLimiter{daemon: d, borrower: borrower, searches: newTokenSearches()}
 	for range 20 {
 		if throttled {
-			d.throttles.Report(now, "dealer", "lookup.read", 1, time.Second)
+			d.throttles.Observe(now, "dealer", "lookup.read", 1, time.Second)
 			d.throttles.Admit(now, "dealer", "lookup.read")
 		}
 	}
