--- a/internal/decide/allot/divide.go
+++ b/internal/decide/allot/divide.go
@@ -8,150 +8,154 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/shed"
 )
 
-// resource is something of a service that requests use up.
+// resource identifies a limited quantity of one service that requests use up.
 type resource struct {
 	service string
-	use     use
+	kind    resourceKind
 }
 
-//go:generate stringer -type=use -linecomment
+//go:generate stringer -type=resourceKind -linecomment
 
-// use tells the resources of one service apart.
-type use uint8
+// resourceKind distinguishes the resources of one service.
+type resourceKind uint8
 
 const (
-	// slots are counted in slots that are held.
-	slots use = iota // slots
-	// again are the repeats to the service, in repeats a second.
-	again // repeats
+	// slots are the service's concurrency slots.
+	slots resourceKind = iota // slots
+	// retries are the retries that the fleet may send to the service, per second.
+	retries // repeats
 )
 
-// divide returns the part of each lane that fits into the room; room is used up by it.
+// allocate returns the admitted fraction of each class such that all admitted requests fit into the remaining capacity, which it uses up.
 //
-// One part of the room opens all lanes alike, and the rest is shared out by what they need, with more for those that go first.
-func divide(lanes []lane, room map[resource]float64) map[shed.Class]float64 {
-	slices.SortFunc(lanes, lane.compare)
-	open := make(map[shed.Class]float64, len(lanes))
-	fill(lanes, open, shared(room), alike)
-	for _, l := range lanes {
-		take(l, open[l.Class], room)
+// A first pass gives equalShare of the capacity to all classes by equal fractions. The second pass divides the rest by what each
+// class needs, and favours higher-priority classes.
+func allocate(classes []classNeeds, remaining map[resource]float64) map[shed.Class]float64 {
+	slices.SortFunc(classes, classNeeds.compare)
+	fractions := make(map[shed.Class]float64, len(classes))
+	progressiveFill(classes, fractions, equalPassCapacity(remaining), equalWeight)
+	for _, c := range classes {
+		consume(c, fractions[c.Class], remaining)
 	}
-	fill(lanes, open, room, lane.claim)
-	return open
+	progressiveFill(classes, fractions, remaining, classNeeds.rankWeight)
+	return fractions
 }
 
-// shared returns the part of the room that opens all lanes alike.
-func shared(room map[resource]float64) map[resource]float64 {
-	some := make(map[resource]float64, len(room))
-	for what, left := range room {
-		part := alikePart
-		if what.use == again {
-			part = alikeRepeats
+// equalPassCapacity returns the share of the capacity that the equal-fraction pass allocates.
+func equalPassCapacity(capacity map[resource]float64) map[resource]float64 {
+	equal := make(map[resource]float64, len(capacity))
+	for r, amount := range capacity {
+		fraction := equalShare
+		if r.kind == retries {
+			fraction = equalRetryShare
 		}
-		some[what] = part * left
+		equal[r] = fraction * amount
 	}
-	return some
+	return equal
 }
 
-// alike makes all lanes rise by the same part.
-func alike(lane, map[resource]float64) float64 { return 1 }
-
-// fill opens the lanes further, in steps that are the smaller the more a lane weighs, until it is open or something that it
-// needs is used up. Weighed by what they need most, lanes whose requests need little are open before those whose need much.
-func fill(lanes []lane, open map[shed.Class]float64, room map[resource]float64, weigh func(lane, map[resource]float64) float64) {
-	rising := make([]riser, 0, len(lanes))
-	for _, l := range lanes {
-		if l.share(room) == 0 {
-			open[l.Class] = 1
+// equalWeight raises the fractions of all classes at the same rate.
+func equalWeight(classNeeds, map[resource]float64) float64 { return 1 }
+
+// progressiveFill raises the fraction of each class, more slowly for a greater weight, until all of the class is admitted or a resource
+// that it needs is exhausted. Weighted by dominant share, classes whose requests need little are admitted in full before those
+// whose requests need much.
+func progressiveFill(classes []classNeeds, fractions map[shed.Class]float64, remaining map[resource]float64, weightOf func(classNeeds, map[resource]float64) float64) {
+	active := make([]growing, 0, len(classes))
+	for _, c := range classes {
+		if c.dominantShare(remaining) == 0 {
+			fractions[c.Class] = 1
 			continue
 		}
-		rising = append(rising, riser{l, weigh(l, room)})
+		active = append(active, growing{c, weightOf(c, remaining)})
 	}
-	// Each round opens a lane or uses something up; the bound is for what rounding leaves over.
-	for range 2 * (len(lanes) + len(room) + 1) {
-		rising = slices.DeleteFunc(rising, func(r riser) bool { return open[r.Class] >= 1 || r.stuck(room) })
-		if len(rising) == 0 {
+	// Each round completes a class or exhausts a resource; the bound covers residues of rounding.
+	for range 2 * (len(classes) + len(remaining) + 1) {
+		active = slices.DeleteFunc(active, func(g growing) bool { return fractions[g.Class] >= 1 || g.exhausted(remaining) })
+		if len(active) == 0 {
 			return
 		}
-		step := stepOf(rising, open, room)
-		for _, r := range rising {
-			part := min(step/r.weight, 1-open[r.Class])
-			open[r.Class] += part
-			take(r.lane, part, room)
+		step := maxStep(active, fractions, remaining)
+		for _, g := range active {
+			added := min(step/g.weight, 1-fractions[g.Class])
+			fractions[g.Class] += added
+			consume(g.classNeeds, added, remaining)
 		}
 	}
 }
 
-// riser is a lane that is opened further.
-type riser struct {
-	lane
+// growing is a class whose admitted fraction is still being raised.
+type growing struct {
+	classNeeds
 	weight float64
 }
 
-// nothing is an amount that is left over by rounding.
-const nothing = 1e-9
+// epsilon is the residue that rounding may leave, relative to 1 plus the need.
+const epsilon = 1e-9
 
-// stuck reports whether something that the lane needs is used up.
-func (r riser) stuck(room map[resource]float64) bool {
-	for what, need := range r.needs {
-		if left, known := room[what]; known && need > 0 && left <= nothing*(1+need) {
+// exhausted reports whether a resource that the class needs is used up.
+func (g growing) exhausted(remaining map[resource]float64) bool {
+	for r, need := range g.needs {
+		if left, known := remaining[r]; known && need > 0 && left <= epsilon*(1+need) {
 			return true
 		}
 	}
 	return false
 }
 
-// stepOf returns how far the lanes can rise until a lane is open or something is used up.
-func stepOf(rising []riser, open map[shed.Class]float64, room map[resource]float64) float64 {
+// maxStep returns the largest step before a class is admitted in full or a resource is exhausted.
+func maxStep(active []growing, fractions map[shed.Class]float64, remaining map[resource]float64) float64 {
 	step := math.Inf(1)
-	speeds := map[resource]float64{}
-	for _, r := range rising {
-		step = min(step, (1-open[r.Class])*r.weight)
-		for what, need := range r.needs {
-			speeds[what] += need / r.weight
+	rates := map[resource]float64{}
+	for _, g := range active {
+		step = min(step, (1-fractions[g.Class])*g.weight)
+		for r, need := range g.needs {
+			rates[r] += need / g.weight
 		}
 	}
-	for what, speed := range speeds {
-		if left, known := room[what]; known && speed > 0 {
-			step = min(step, left/speed)
+	for r, rate := range rates {
+		if left, known := remaining[r]; known && rate > 0 {
+			step = min(step, left/rate)
 		}
 	}
 	return step
 }
 
-// share returns the part of the room that all of the lane would take of what it needs most; 0 if it needs nothing that is bounded.
-func (l lane) share(room map[resource]float64) float64 {
-	most := 0.0
-	for what, need := range l.needs {
-		if left, known := room[what]; known && need > 0 {
-			most = max(most, need/max(left, nothing))
+// dominantShare returns the largest fraction of any remaining resource that the class would take if it were admitted in full, or 0 if
+// it needs no limited resource.
+func (c classNeeds) dominantShare(remaining map[resource]float64) float64 {
+	share := 0.0
+	for r, need := range c.needs {
+		if left, known := remaining[r]; known && need > 0 {
+			share = max(share, need/max(left, epsilon))
 		}
 	}
-	return most
+	return share
 }
 
-// claim is the lane's share in relation to its standing: of what is short, a lane gets less than one that goes before it.
-func (l lane) claim(room map[resource]float64) float64 {
-	behind := min(l.Rank.Organisation, lastRank) + min(l.Rank.Route, lastRank)
-	return l.share(room) * math.Pow(rankWeight, float64(behind))
+// rankWeight is the dominant share scaled up for each rank of lower priority, so that a lower-priority class gets less of a scarce resource.
+func (c classNeeds) rankWeight(remaining map[resource]float64) float64 {
+	rank := min(c.Rank.Organisation, maxRank) + min(c.Rank.Route, maxRank)
+	return c.dominantShare(remaining) * math.Pow(rankFactor, float64(rank))
 }
 
 const (
-	// rankWeight is how much more a lane gets of what is short than one a rank behind it.
-	rankWeight = 1.5
-	// lastRank stands for all ranks behind it.
-	lastRank = 2
+	// rankFactor is how much more of a scarce resource a class gets than one that is one rank lower in priority.
+	rankFactor = 1.5
+	// maxRank is the rank that all lower-priority ranks count as.
+	maxRank = 2
 )
 
-// compare orders lanes by rank and then by name, so that a plan is the same for the same figures.
-func (l lane) compare(other lane) int {
-	return cmp.Or(l.Rank.Compare(other.Rank), cmp.Compare(l.Route, other.Route), cmp.Compare(l.Service, other.Service))
+// compare orders classes by rank and then by name, so that equal inputs always give the same plan.
+func (c classNeeds) compare(other classNeeds) int {
+	return cmp.Or(c.Rank.Compare(other.Rank), cmp.Compare(c.Route, other.Route), cmp.Compare(c.Service, other.Service))
 }
 
-func take(l lane, part float64, room map[resource]float64) {
-	for what, need := range l.needs {
-		if _, known := room[what]; known {
-			room[what] -= need * part
+// consume subtracts what the fraction of the class needs from the remaining capacity.
+func consume(c classNeeds, fraction float64, remaining map[resource]float64) {
+	for r, need := range c.needs {
+		if _, known := remaining[r]; known {
+			remaining[r] -= need * fraction
 		}
 	}
 }
--- a/internal/decide/allot/doc.go
+++ b/internal/decide/allot/doc.go
@@ -1,3 +1,3 @@
-// Package allot decides for the whole fleet which part of each lane of callers' requests is begun while services
-// deep in the call graph are short of slots.
+// Package allot decides for the whole fleet which fraction of each traffic class is admitted while services deep in
+// the call graph have too few slots for the demand.
 package allot
--- a/internal/decide/allot/holds.go
+++ b/internal/decide/allot/holds.go
@@ -7,106 +7,106 @@
 	"time"
 )
 
-// HoldTime is for how long the requests of a route have held slots of one instance since its last word.
+// HoldTime is the total time that requests of a route held slots of one instance since its last heartbeat, and their number.
 type HoldTime struct {
 	Route   string  `msgpack:"route"`
 	Seconds float64 `msgpack:"seconds"`
 	Count   int     `msgpack:"count"`
 }
 
-// Instance is one of a service, with its slots that can be used.
+// Instance is one instance of a service and the number of its usable slots.
 type Instance struct {
 	Host  netip.Addr
 	Slots float64
 }
 
-// holds is for how long requests hold slots, by stage, and by instance as far as enough is known.
+// holdTimes estimates how long requests hold slots, by route and service, and by host once enough requests were observed on it.
 //
-// Instances of one service differ in speed by several times. A mean over all of them is not that of those that are left when some go, and
-// plans made with it fill the slow ones up to several times their slots.
-type holds struct {
-	stages map[stage]*mean
-	hosts  map[stage]map[netip.Addr]*mean
+// Instances of one service differ in speed by several times. When some of them go, a mean over all is wrong for those that remain, and
+// plans based on it fill slow instances up to several times their slots.
+type holdTimes struct {
+	byService map[routeService]*mean
+	byHost    map[routeService]map[netip.Addr]*mean
 }
 
-// mean is the mean time for which a slot is held, over the last seconds.
+// mean is an exponentially decayed mean hold time.
 type mean struct {
 	seconds float64
 	count   float64
-	at      time.Time
-	// used is the mean that plans go by, which follows the others' waits only slowly.
-	used float64
+	updated time.Time
+	// planned is the mean that plans use; it rises only slowly where the hold time contains waits for sub-calls.
+	planned float64
 }
 
 const (
-	// heldTime is how long the time for which slots are held is remembered: an instance that turns slow is known within some beats,
-	// and a mean over a hundred requests is not moved by one that took long.
-	heldTime = 1500 * time.Millisecond
-	// priorCount is how many requests the mean of all instances stands for in that of those that are there.
-	priorCount = 20
-	// waitTime is how slowly plans follow a rise of the time for which requests hold slots that make calls: it holds the
-	// waits of their calls, which the plan itself is about to end.
-	waitTime = 5 * time.Second
-	// keptTime is how long an instance is remembered that has not been heard of.
-	keptTime = 10 * time.Second
-	// mostStages bounds what is kept over many changes of the configuration.
-	mostStages = 20_000
+	// holdTimeConstant is the time constant of the decay: an instance that becomes slow is noticed within a few heartbeats, and
+	// a single slow request doesn't move a mean over a hundred.
+	holdTimeConstant = 1500 * time.Millisecond
+	// priorRequests is the weight, in requests, of the mean over all instances in the estimate for the current ones.
+	priorRequests = 20
+	// riseTimeConstant is how slowly plans follow a rise of the hold time of requests with sub-calls: that time includes waits for
+	// the sub-calls, which the plan itself is about to end.
+	riseTimeConstant = 5 * time.Second
+	// instanceTTL is how long an instance is retained without new samples.
+	instanceTTL = 10 * time.Second
+	// maxRouteServices bounds the memory used over many configuration changes.
+	maxRouteServices = 20_000
 )
 
-func newHolds() holds {
-	return holds{stages: map[stage]*mean{}, hosts: map[stage]map[netip.Addr]*mean{}}
+func newHoldTimes() holdTimes {
+	return holdTimes{byService: map[routeService]*mean{}, byHost: map[routeService]map[netip.Addr]*mean{}}
 }
 
-func (h *holds) add(service string, host netip.Addr, all []HoldTime, now time.Time) {
-	if len(h.stages) > mostStages {
-		*h = newHolds()
+func (h *holdTimes) add(service string, host netip.Addr, samples []HoldTime, now time.Time) {
+	if len(h.byService) > maxRouteServices {
+		*h = newHoldTimes()
 	}
-	for _, held := range all {
-		at := stage{held.Route, service}
-		if h.stages[at] == nil {
-			h.stages[at], h.hosts[at] = &mean{at: now}, map[netip.Addr]*mean{}
+	for _, sample := range samples {
+		key := routeService{sample.Route, service}
+		if h.byService[key] == nil {
+			h.byService[key], h.byHost[key] = &mean{updated: now}, map[netip.Addr]*mean{}
 		}
-		h.stages[at].add(held, now)
-		one := h.hosts[at][host]
-		if one == nil {
-			maps.DeleteFunc(h.hosts[at], func(_ netip.Addr, m *mean) bool { return now.Sub(m.at) > keptTime })
-			one = &mean{at: now}
-			h.hosts[at][host] = one
+		h.byService[key].add(sample, now)
+		onHost := h.byHost[key][host]
+		if onHost == nil {
+			maps.DeleteFunc(h.byHost[key], func(_ netip.Addr, m *mean) bool { return now.Sub(m.updated) > instanceTTL })
+			onHost = &mean{updated: now}
+			h.byHost[key][host] = onHost
 		}
-		one.add(held, now)
+		onHost.add(sample, now)
 	}
 }
 
-func (m *mean) add(held HoldTime, now time.Time) {
-	fade := math.Exp(-now.Sub(m.at).Seconds() / heldTime.Seconds())
-	m.seconds = m.seconds*fade + held.Seconds
-	m.count = m.count*fade + float64(held.Count)
-	m.at = now
+func (m *mean) add(sample HoldTime, now time.Time) {
+	decay := math.Exp(-now.Sub(m.updated).Seconds() / holdTimeConstant.Seconds())
+	m.seconds = m.seconds*decay + sample.Seconds
+	m.count = m.count*decay + float64(sample.Count)
+	m.updated = now
 }
 
-// settle brings the means that plans go by up to date.
-func (h *holds) settle(s State, gap time.Duration) {
-	for at, m := range h.stages {
+// updatePlanned updates the means that plans use.
+func (h *holdTimes) updatePlanned(s State, elapsed time.Duration) {
+	for key, m := range h.byService {
 		if m.count == 0 {
 			continue
 		}
-		m.follow(h.fresh(at, s.Instances[at.service]), len(s.CallGraph[at.route]) > 0, gap)
+		m.updatePlanned(h.current(key, s.Instances[key.service]), len(s.CallGraph[key.route]) > 0, elapsed)
 	}
 }
 
-func (m *mean) follow(fresh float64, waits bool, gap time.Duration) {
-	if m.used > 0 && fresh > m.used && waits {
-		fresh = m.used + (fresh-m.used)*min(gap.Seconds()/waitTime.Seconds(), 1)
+func (m *mean) updatePlanned(current float64, hasSubCalls bool, elapsed time.Duration) {
+	if m.planned > 0 && current > m.planned && hasSubCalls {
+		current = m.planned + (current-m.planned)*min(elapsed.Seconds()/riseTimeConstant.Seconds(), 1)
 	}
-	m.used = fresh
+	m.planned = current
 }
 
-// fresh is the mean over the requests of the instances that there are now, drawn towards that of all by what little is known of them.
-func (h *holds) fresh(at stage, instances []Instance) float64 {
-	all := h.stages[at].seconds / h.stages[at].count
-	seconds, count := priorCount*all, float64(priorCount)
+// current is the mean hold time on the given instances, drawn towards the mean of all instances where there are few samples.
+func (h *holdTimes) current(key routeService, instances []Instance) float64 {
+	overall := h.byService[key].seconds / h.byService[key].count
+	seconds, count := priorRequests*overall, float64(priorRequests)
 	for _, i := range instances {
-		if m := h.hosts[at][i.Host]; m != nil {
+		if m := h.byHost[key][i.Host]; m != nil {
 			seconds += m.seconds
 			count += m.count
 		}
@@ -114,10 +114,10 @@
 	return seconds / count
 }
 
-// time is how long one request holds a slot there, in seconds; 0 while none has ended.
-func (h *holds) time(at stage) float64 {
-	if m := h.stages[at]; m != nil {
-		return m.used
+// estimate returns how long one request holds a slot of the service, in seconds, or 0 before any request has ended.
+func (h *holdTimes) estimate(key routeService) float64 {
+	if m := h.byService[key]; m != nil {
+		return m.planned
 	}
 	return 0
 }
--- a/internal/decide/allot/planner.go
+++ b/internal/decide/allot/planner.go
@@ -11,212 +11,212 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/graph"
 )
 
-// Planner works out what the fleet can begin from what it is asked for, what that costs and how many slots there are.
+// Planner computes which fraction of each class the fleet can admit, from the demand, the slots and the slot time that each request costs.
 //
-// It is for surges of several times what a service deep in the call graph can do, of requests that each call it up to ten times.
-// Moved towards a target by how full that service is, the part that is begun follows the surge by two to three seconds, overshoots,
-// and swings: the service stands idle in one second and fails most of what was begun in the next. Slots and the time for which
-// requests hold them are known within a beat, so the part that fits is worked out at once; how full services are found to
-// be only corrects it. In the model of TestSurge, 60 slots that are asked for ten times what they can do stay over four
-// fifths in use for work that is finished in time.
+// It handles surges of several times the capacity of a service deep in the call graph, of requests that each call it up to ten times.
+// A controller that only moved the admitted fraction towards a target saturation would follow the surge two to three seconds late,
+// overshoot and oscillate: the service would idle in one second and fail most admitted requests in the next. Slots and hold times are
+// known within a heartbeat, so the fraction that fits is computed at once, and measured saturation only corrects it.
 type Planner struct {
-	held     holds
-	met      map[string]*waste
-	services map[string]*service
-	planned  time.Time
-	// unrepeated are the services to which the last plan could not repeat all that it would have had to.
-	unrepeated []Shortage
+	holdTimes  holdTimes
+	deliveries map[string]*deliveryStats
+	services   map[string]*service
+	lastPlan   time.Time
+	// retryShortages are the services whose retry budget limited the last plan.
+	retryShortages []Shortage
 }
 
-// stage is a route at one of its services.
-type stage struct{ route, service string }
+// routeService is a route at one of the services that serve it.
+type routeService struct{ route, service string }
 
-// service is what is known of one service from one plan to the next.
+// service is the planner's state of one service, kept from one plan to the next.
 type service struct {
-	// factor is the lasting correction of the slots by how full they were found to be.
-	factor float64
-	// used is the part of the slots that the last plan gave out, and short whether that was less than was asked for.
-	used  float64
-	short bool
-	// slots, full and asked are what the last plan was made from.
-	slots, full, asked float64
+	// correction is the lasting (integral) correction of the slots by measured saturation.
+	correction float64
+	// allocatedFraction is the slots that the last plan allocated, divided by all slots; constrained means that they limited the plan.
+	allocatedFraction float64
+	constrained       bool
+	// slots, saturation and requested (the slots that all demand would take) are the inputs of the last plan.
+	slots, saturation, requested float64
 }
 
-// State is what is known of the fleet at one moment.
+// State is the state of the fleet at one moment.
 type State struct {
-	// Demand is what callers ask for, in requests a second.
+	// Demand is the offered load in requests per second.
 	Demand map[shed.Class]float64
-	// Slots are those of the instances that can be used, by service. A service that nobody has told of is not in it.
+	// Slots are the usable slots by service. A service that no daemon has reported is missing from it.
 	Slots map[string]float64
-	// Saturation is the part of a service's slots that requests found in use, above 1 by how long they had to wait.
+	// Saturation is the mean saturation of each service, as defined by demand.Service.Saturation.
 	Saturation map[string]float64
 	CallGraph  graph.Edges
-	// Instances are those whose slots are counted, by service.
+	// Instances are the instances whose slots are counted, by service.
 	Instances map[string][]Instance
-	// RetryRates are what the fleet may send once more to each service.
+	// RetryRates are the fleet's retry budget income and retry demand by service.
 	RetryRates map[string]repeats.Rates
-	// Shares returns the services of a route with their parts of its requests.
+	// Shares returns the services of a route and the fraction of its requests that each receives.
 	Shares func(route string) map[string]float64
 }
 
 const (
-	// targetFull is how full a service should be found: all slots in use, and a short queue, so that none stands empty.
-	// 0.15 are some 8 ms a call, a tenth of a second in a chain of ten.
-	targetFull = 1.15
-	// leastFull and mostFull bound the fullness that counts.
-	leastFull = 0.5
-	mostFull  = 8.0
-	// answer is the power of the ratio between target and fullness by which the slots are corrected at once: little, since what a
-	// plan changes shows in the queue some 0.8 s later.
-	answer = 0.12
-	// The lasting correction finds what is not known of the costs. It moves by these powers in a second: down slowly, since the
-	// queue at the beginning of a surge is from before the plan, and up faster, since a service that is short stands idle in part.
-	driftDown = 0.05
-	driftUp   = 0.25
-	// distrust speeds up the way back of a correction, for each part that it takes away: most of what takes half of the slots away is
-	// from moments in which the costs were not known.
-	distrust = 1.5
-	// overFull is the fullness from which on a service is short, whatever was worked out; its correction moves by overDrift then.
-	overFull  = 1.6
-	overDrift = 0.3
-	overShort = 0.2
-	// leastFactor and mostFactor bound the lasting correction, and relaxTime is how soon one that is not needed any more fades.
-	leastFactor = 0.4
-	mostFactor  = 1.25
-	relaxTime   = 3 * time.Second
-	// mostGap is the longest time that one word speaks for.
-	mostGap = 500 * time.Millisecond
-	// shortFrom is the part of the room from which on a service counts as used up.
-	shortFrom = 0.98
-	// alikePart of the room opens all lanes by the same part: without it, lookups of small organisations would get next to nothing
-	// while payments come in for more than the slots.
-	alikePart = 0.42
-	// alikeRepeats is that part of the repeats: each that goes to a request that needs ten of them is missing for ten others.
-	alikeRepeats = 0.1
+	// targetSaturation is the saturation a service is held at: all slots in use and a short queue, so that no slot is idle.
+	// A queue of 0.15 adds about 8 ms per call, or a tenth of a second in a chain of ten.
+	targetSaturation = 1.15
+	// minSaturation and maxSaturation clamp the measured saturation.
+	minSaturation = 0.5
+	maxSaturation = 8.0
+	// proportionalExponent is the exponent of target/saturation in the immediate correction: small, since the effect of a plan
+	// shows in the queue about 0.8 s later.
+	proportionalExponent = 0.12
+	// The lasting correction compensates for errors in the known costs. These are its exponents per second: a slow one downwards, since the
+	// queue at the start of a surge predates the plan, and a faster one upwards, since a constrained service then has idle slots.
+	integralDownExponent = 0.05
+	integralUpExponent   = 0.25
+	// recoveryGain is added to the upward exponent, in proportion to the fraction of slots that the correction takes away: a correction
+	// that takes half of the slots mostly stems from moments when the costs were unknown.
+	recoveryGain = 1.5
+	// From overloadSaturation on, a service counts as overloaded regardless of the plan. Its correction then has one exponent per second
+	// if the last plan left the service unconstrained, and a smaller one if the plan already limited it.
+	overloadSaturation        = 1.6
+	unplannedOverloadExponent = 0.3
+	plannedOverloadExponent   = 0.2
+	// minCorrection and maxCorrection clamp the lasting correction; relaxTimeConstant is how fast it returns to 1 once it isn't needed.
+	minCorrection     = 0.4
+	maxCorrection     = 1.25
+	relaxTimeConstant = 3 * time.Second
+	// maxElapsed bounds the time for which one measurement moves the correction.
+	maxElapsed = 500 * time.Millisecond
+	// exhaustedFraction is the allocated fraction of a resource from which on it counts as exhausted.
+	exhaustedFraction = 0.98
+	// equalShare is the fraction of the slots that admits all classes by equal fractions: without it, lookups of small organisations
+	// would get next to nothing while payments demand more than all slots.
+	equalShare = 0.42
+	// equalRetryShare is the same for retries, and smaller: a request that needs ten retries takes them from ten others.
+	equalRetryShare = 0.1
 )
 
-// New returns a planner that knows nothing yet.
+// New returns a planner without data.
 func New() *Planner {
-	return &Planner{held: newHolds(), met: map[string]*waste{}, services: map[string]*service{}}
+	return &Planner{holdTimes: newHoldTimes(), deliveries: map[string]*deliveryStats{}, services: map[string]*service{}}
 }
 
-// RecordHoldTimes takes in for how long requests have held slots of the service's instance on a host.
-func (p *Planner) RecordHoldTimes(service string, host netip.Addr, all []HoldTime, now time.Time) {
-	p.held.add(service, host, all, now)
+// RecordHoldTimes records how long requests held slots of the service's instance on a host.
+func (p *Planner) RecordHoldTimes(service string, host netip.Addr, samples []HoldTime, now time.Time) {
+	p.holdTimes.add(service, host, samples, now)
 }
 
-// nearlyAll is the part from which on turning away is not worth it: arithmetic leaves a little.
-const nearlyAll = 0.995
+// admitAllThreshold is the fraction from which on all of a class is admitted: the rest may be a rounding error and isn't worth shedding.
+const admitAllThreshold = 0.995
 
-// Plan returns the part of each lane that is begun, for the lanes of which it is not all.
+// Plan returns the admitted fraction of each class that isn't admitted in full.
 func (p *Planner) Plan(s State, now time.Time) map[shed.Class]float64 {
-	gap := min(now.Sub(p.planned), mostGap)
-	p.planned = now
-	p.held.settle(s, gap)
-	room := p.room(s, gap)
-	for service, fleet := range s.RetryRates {
-		if p.repeats(service) > 0 {
-			room[resource{service, again}] = fleet.Earned
+	elapsed := min(now.Sub(p.lastPlan), maxElapsed)
+	p.lastPlan = now
+	p.holdTimes.updatePlanned(s, elapsed)
+	capacity := p.capacity(s, elapsed)
+	for service, rates := range s.RetryRates {
+		if p.retriesPerDelivery(service) > 0 {
+			capacity[resource{service, retries}] = rates.Earned
 		}
 	}
-	lanes := p.lanes(s)
-	open := divide(lanes, maps.Clone(room))
-	p.note(lanes, open, room)
-	for l, part := range open {
-		if part >= nearlyAll {
-			delete(open, l)
+	classes := p.classNeeds(s)
+	fractions := allocate(classes, maps.Clone(capacity))
+	p.recordPlan(classes, fractions, capacity)
+	for class, fraction := range fractions {
+		if fraction >= admitAllThreshold {
+			delete(fractions, class)
 		}
 	}
-	return open
+	return fractions
 }
 
-// room returns the slots that each service has to give out, corrected by how full it is.
-func (p *Planner) room(s State, gap time.Duration) map[resource]float64 {
-	room := make(map[resource]float64, len(s.Slots))
+// capacity returns the slots that each service can allocate, corrected by its saturation.
+func (p *Planner) capacity(s State, elapsed time.Duration) map[resource]float64 {
+	capacity := make(map[resource]float64, len(s.Slots))
 	for name, count := range s.Slots {
-		v := p.services[name]
-		if v == nil {
-			v = &service{factor: 1}
-			p.services[name] = v
+		svc := p.services[name]
+		if svc == nil {
+			svc = &service{correction: 1}
+			p.services[name] = svc
 		}
-		v.resize(count)
-		v.full = s.Saturation[name]
-		room[resource{name, slots}] = count * v.correct(gap)
+		svc.resize(count)
+		svc.saturation = s.Saturation[name]
+		capacity[resource{name, slots}] = count * svc.updateCorrection(elapsed)
 	}
-	return room
+	return capacity
 }
 
-// correct moves the lasting correction by what the last plan has led to, and returns the part of the slots to give out.
-func (v *service) correct(gap time.Duration) float64 {
-	ratio := targetFull / min(max(v.full, leastFull), mostFull)
+// updateCorrection moves the lasting correction by the effect of the last plan, and returns the factor by which to scale the slots.
+func (s *service) updateCorrection(elapsed time.Duration) float64 {
+	ratio := targetSaturation / min(max(s.saturation, minSaturation), maxSaturation)
 	switch {
-	case v.short && v.full > overFull:
-		v.drift(ratio, overShort, gap)
-	case v.short && ratio > 1:
-		v.drift(ratio, driftUp+distrust*max(1-v.factor, 0), gap)
-	case v.short:
-		v.drift(ratio, driftDown, gap)
-	case v.full > overFull:
-		v.drift(ratio, overDrift, gap)
+	case s.constrained && s.saturation > overloadSaturation:
+		s.integrate(ratio, plannedOverloadExponent, elapsed)
+	case s.constrained && ratio > 1:
+		s.integrate(ratio, integralUpExponent+recoveryGain*max(1-s.correction, 0), elapsed)
+	case s.constrained:
+		s.integrate(ratio, integralDownExponent, elapsed)
+	case s.saturation > overloadSaturation:
+		s.integrate(ratio, unplannedOverloadExponent, elapsed)
 	default:
-		v.factor += (1 - v.factor) * min(gap.Seconds()/relaxTime.Seconds(), 1)
+		s.correction += (1 - s.correction) * min(elapsed.Seconds()/relaxTimeConstant.Seconds(), 1)
 	}
-	return v.factor * math.Pow(ratio, answer)
+	return s.correction * math.Pow(ratio, proportionalExponent)
 }
 
-// resize takes in how many slots the service has now. What was found out about instances that are gone says nothing of those that are
-// left, nor of new ones.
-func (v *service) resize(slots float64) {
-	if v.slots > 0 && slots != v.slots {
-		v.factor = 1 + (v.factor-1)*min(slots, v.slots)/max(slots, v.slots)
+// resize sets the number of slots. A correction found with the previous instances doesn't apply to their replacements or to new
+// ones, so it is reduced in proportion to the change.
+func (s *service) resize(slots float64) {
+	if s.slots > 0 && slots != s.slots {
+		s.correction = 1 + (s.correction-1)*min(slots, s.slots)/max(slots, s.slots)
 	}
-	v.slots = slots
+	s.slots = slots
 }
 
-func (v *service) drift(ratio, power float64, gap time.Duration) {
-	v.factor = min(max(v.factor*math.Pow(ratio, power*gap.Seconds()), leastFactor), mostFactor)
+// integrate moves the lasting correction by the ratio of target to measured saturation; the exponent is per second.
+func (s *service) integrate(ratio, exponent float64, elapsed time.Duration) {
+	s.correction = min(max(s.correction*math.Pow(ratio, exponent*elapsed.Seconds()), minCorrection), maxCorrection)
 }
 
-// lane is a lane with the slots that all of its requests would need, by service.
-type lane struct {
+// classNeeds is a class with the amount of each resource that all of its requests would need.
+type classNeeds struct {
 	shed.Class
 	needs map[resource]float64
 }
 
-func (p *Planner) lanes(s State) []lane {
-	costs := map[stage]map[resource]float64{}
-	lanes := make([]lane, 0, len(s.Demand))
-	for l, perSecond := range s.Demand {
-		at := stage{l.Route, l.Service}
-		cost, known := costs[at]
+func (p *Planner) classNeeds(s State) []classNeeds {
+	costs := map[routeService]map[resource]float64{}
+	classes := make([]classNeeds, 0, len(s.Demand))
+	for class, perSecond := range s.Demand {
+		key := routeService{class.Route, class.Service}
+		cost, known := costs[key]
 		if !known {
-			cost = p.cost(at, s)
-			costs[at] = cost
+			cost = p.cost(key, s)
+			costs[key] = cost
 		}
-		out := lane{Class: l, needs: make(map[resource]float64, len(cost))}
-		for what, each := range cost {
-			out.needs[what] = each * perSecond
+		c := classNeeds{Class: class, needs: make(map[resource]float64, len(cost))}
+		for r, perRequest := range cost {
+			c.needs[r] = perRequest * perSecond
 		}
-		lanes = append(lanes, out)
+		classes = append(classes, c)
 	}
-	return lanes
+	return classes
 }
 
-// cost returns the slot-seconds and the repeats that one request takes of each service, with its calls and theirs.
-func (p *Planner) cost(at stage, s State) map[resource]float64 {
+// cost returns the slot-seconds and the retries that one request takes of each service, including its sub-calls and theirs.
+func (p *Planner) cost(key routeService, s State) map[resource]float64 {
 	cost := map[resource]float64{}
-	p.add(cost, at, 1)
-	for to, count := range s.CallGraph[at.route] {
-		for _, leg := range s.CallGraph.Hops(to, count, s.Shares) {
-			p.add(cost, stage{leg.Route, leg.Service}, leg.Count)
+	p.addCost(cost, key, 1)
+	for target, calls := range s.CallGraph[key.route] {
+		for _, hop := range s.CallGraph.Hops(target, calls, s.Shares) {
+			p.addCost(cost, routeService{hop.Route, hop.Service}, hop.Count)
 		}
 	}
 	return cost
 }
 
-func (p *Planner) add(cost map[resource]float64, at stage, count float64) {
-	cost[resource{at.service, slots}] += count * p.held.time(at)
-	if times := p.repeats(at.service); times > 0 {
-		cost[resource{at.service, again}] += count * times
+func (p *Planner) addCost(cost map[resource]float64, key routeService, runs float64) {
+	cost[resource{key.service, slots}] += runs * p.holdTimes.estimate(key)
+	if perDelivery := p.retriesPerDelivery(key.service); perDelivery > 0 {
+		cost[resource{key.service, retries}] += runs * perDelivery
 	}
 }
--- a/internal/decide/allot/planner_test.go
+++ b/internal/decide/allot/planner_test.go
@@ -13,55 +13,55 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/graph"
 )
 
-// host is that of the only instance that tells of itself.
+// host is the host of the only instance that sends heartbeats.
 var host = netip.MustParseAddr("10.0.0.1")
 
-// single sends each route to the service of its own name.
-func single(route string) map[string]float64 { return map[string]float64{route: 1} }
+// sameNamedService sends each route to the service of the same name.
+func sameNamedService(route string) map[string]float64 { return map[string]float64{route: 1} }
 
 func TestNoServiceGetsMoreThanItsSlots(t *testing.T) {
-	Convey("Over any lanes, needs and slots, what is given out fits, and nothing fits any more", t, func() {
+	Convey("For random classes, needs and capacities, allocations fit and leave no usable capacity", t, func() {
 		rng := rand.New(rand.NewPCG(1, 1))
 		for range 500 {
 			services := 1 + rng.IntN(5)
-			room := map[resource]float64{}
-			for n := range services {
-				room[resource{fmt.Sprint(n), use(n % 2)}] = rng.Float64() * 100
+			capacity := map[resource]float64{}
+			for i := range services {
+				capacity[resource{fmt.Sprint(i), resourceKind(i % 2)}] = rng.Float64() * 100
 			}
-			var lanes []lane
+			var classes []classNeeds
 			for n := range 1 + rng.IntN(12) {
-				l := lane{Class: shed.Class{Route: fmt.Sprint(n), Rank: shed.Rank{Organisation: rng.IntN(3), Route: rng.IntN(3)}}, needs: map[resource]float64{}}
+				c := classNeeds{Class: shed.Class{Route: fmt.Sprint(n), Rank: shed.Rank{Organisation: rng.IntN(3), Route: rng.IntN(3)}}, needs: map[resource]float64{}}
 				for range 1 + rng.IntN(3) {
 					n := rng.IntN(services + 1)
-					l.needs[resource{fmt.Sprint(n), use(n % 2)}] = rng.Float64() * 60
+					c.needs[resource{fmt.Sprint(n), resourceKind(n % 2)}] = rng.Float64() * 60
 				}
-				lanes = append(lanes, l)
+				classes = append(classes, c)
 			}
-			used := map[resource]float64{}
-			left := map[resource]float64{}
-			for name, slots := range room {
-				left[name] = slots
+			allocated := map[resource]float64{}
+			remaining := map[resource]float64{}
+			for r, amount := range capacity {
+				remaining[r] = amount
 			}
-			open := divide(lanes, left)
-			So(len(open), ShouldEqual, len(lanes))
-			for _, l := range lanes {
-				So(open[l.Class], ShouldBeBetweenOrEqual, 0, 1+1e-9)
-				for name, need := range l.needs {
-					used[name] += need * open[l.Class]
+			fractions := allocate(classes, remaining)
+			So(len(fractions), ShouldEqual, len(classes))
+			for _, c := range classes {
+				So(fractions[c.Class], ShouldBeBetweenOrEqual, 0, 1+1e-9)
+				for r, need := range c.needs {
+					allocated[r] += need * fractions[c.Class]
 				}
 			}
-			for name, slots := range room {
-				So(used[name], ShouldBeLessThanOrEqualTo, slots+1e-6)
+			for r, amount := range capacity {
+				So(allocated[r], ShouldBeLessThanOrEqualTo, amount+1e-6)
 			}
-			for _, l := range lanes {
+			for _, c := range classes {
 				spare := true
-				for name := range l.needs {
-					if slots, known := room[name]; known && slots-used[name] < 1e-6 {
+				for r := range c.needs {
+					if amount, known := capacity[r]; known && amount-allocated[r] < 1e-6 {
 						spare = false
 					}
 				}
 				if spare {
-					So(open[l.Class], ShouldBeGreaterThan, 1-1e-6)
+					So(fractions[c.Class], ShouldBeGreaterThan, 1-1e-6)
 				}
 			}
 		}
@@ -78,25 +78,25 @@
 			},
 			Slots:     map[string]float64{"pay": 1000, "look": 1000, "photo": 1000, "truck": 10},
 			CallGraph: graph.Edges{"pay": {"truck": 5}, "look": {"truck": 10}},
-			Shares:    single,
+			Shares:    sameNamedService,
 		}
 	}
 	p := New()
 	now := time.Unix(1000, 0)
 	p.RecordHoldTimes("truck", host, []HoldTime{{Route: "truck", Seconds: 1, Count: 100}}, now)
-	// A truck call takes 10 ms: a payment 50 ms of the ten slots, a lookup 100 ms.
-	Convey("Where all fits, nobody is turned away", t, func() {
+	// A truck call holds a slot for 10 ms: a payment takes 50 ms of slot time, a lookup 100 ms.
+	Convey("Demand within capacity is admitted in full", t, func() {
 		So(p.Plan(state(100, 49), now), ShouldBeEmpty)
 	})
-	Convey("Where it doesn't, what goes first has more, the last has its least, and what doesn't need the service all", t, func() {
+	Convey("In overload, higher ranks get more, the lowest keeps its minimum, and classes that don't use the service are unaffected", t, func() {
 		plan := p.Plan(state(100, 200), now)
-		_, cut := plan[shed.Class{Route: "pay", Service: "pay"}]
-		So(cut, ShouldBeFalse)
+		_, limited := plan[shed.Class{Route: "pay", Service: "pay"}]
+		So(limited, ShouldBeFalse)
 		So(plan[shed.Class{Route: "look", Service: "look", Rank: shed.Rank{Organisation: 2}}], ShouldBeBetween, 0.19, 0.31)
-		_, cut = plan[shed.Class{Route: "photo", Service: "photo", Rank: shed.Rank{Organisation: 1}}]
-		So(cut, ShouldBeFalse)
+		_, limited = plan[shed.Class{Route: "photo", Service: "photo", Rank: shed.Rank{Organisation: 1}}]
+		So(limited, ShouldBeFalse)
 	})
-	Convey("A service whose instances are all gone takes nothing, one that nobody has told of is not in the way", t, func() {
+	Convey("A service without instances admits nothing, and one that was never reported limits nothing", t, func() {
 		s := state(100, 49)
 		s.Slots["truck"] = 0
 		So(p.Plan(s, now)[shed.Class{Route: "pay", Service: "pay"}], ShouldEqual, 0)
@@ -105,14 +105,14 @@
 	})
 }
 
-func TestSlotsAfterAStart(t *testing.T) {
-	// Guards against a service that stands half empty for ten seconds after all daemons have started under load: while nobody knew what
-	// requests cost, it was found to be overfull, and its slots were not believed in from then on.
+func TestCapacityAfterColdStart(t *testing.T) {
+	// Guards against a service that stays half idle for ten seconds after all daemons start under load: it was overloaded while request
+	// costs were unknown, and the lasting correction kept its slots low from then on.
 	call := shed.Class{Route: "call", Service: "call"}
-	state := func(full float64) State {
+	state := func(saturation float64) State {
 		return State{
-			Demand: map[shed.Class]float64{call: 100}, Slots: map[string]float64{"truck": 10}, Saturation: map[string]float64{"truck": full},
-			CallGraph: graph.Edges{"call": {"truck": 5}}, Shares: single,
+			Demand: map[shed.Class]float64{call: 100}, Slots: map[string]float64{"truck": 10}, Saturation: map[string]float64{"truck": saturation},
+			CallGraph: graph.Edges{"call": {"truck": 5}}, Shares: sameNamedService,
 		}
 	}
 	p := New()
@@ -121,60 +121,60 @@
 		now = now.Add(100 * time.Millisecond)
 		p.Plan(state(8), now)
 	}
-	var open float64
+	var fraction float64
 	for range 30 {
 		now = now.Add(100 * time.Millisecond)
 		p.RecordHoldTimes("truck", host, []HoldTime{{Route: "truck", Seconds: 1, Count: 25}}, now)
-		open = p.Plan(state(0.6), now)[call]
+		fraction = p.Plan(state(0.6), now)[call]
 	}
-	Convey("Three seconds after the costs are known, nine tenths of the slots are given out again", t, func() {
-		// A call takes 0.2 of a slot, all of them 20.
-		So(open, ShouldBeGreaterThan, 0.9*10/20)
+	Convey("Three seconds after the costs are known, nine tenths of the slots are allocated again", t, func() {
+		// A request takes 0.2 slot-seconds, so the demand of 100 per second needs 20 slots.
+		So(fraction, ShouldBeGreaterThan, 0.9*10/20)
 	})
 }
 
-// TestInstancesThatChange guards against plans for the instances that are gone: those that are left, which work slower, were filled up to
-// four times their slots, or stood idle in part.
-func TestInstancesThatChange(t *testing.T) {
+// TestInstanceChanges guards against plans based on instances that are gone: the slower ones that remain were filled up to four times
+// their slots, or the faster ones were partly idle.
+func TestInstanceChanges(t *testing.T) {
 	call := shed.Class{Route: "call", Service: "call"}
 	slow, fast := Instance{host, 10}, Instance{netip.MustParseAddr("10.0.0.2"), 10}
-	state := func(full float64, there ...Instance) State {
-		sum := 0.0
-		for _, i := range there {
-			sum += i.Slots
+	state := func(saturation float64, instances ...Instance) State {
+		total := 0.0
+		for _, i := range instances {
+			total += i.Slots
 		}
 		return State{
-			Demand: map[shed.Class]float64{call: 1000}, Slots: map[string]float64{"leaf": sum}, Saturation: map[string]float64{"leaf": full},
-			Instances: map[string][]Instance{"leaf": there}, CallGraph: graph.Edges{"call": {"leaf": 1}}, Shares: single,
+			Demand: map[shed.Class]float64{call: 1000}, Slots: map[string]float64{"leaf": total}, Saturation: map[string]float64{"leaf": saturation},
+			Instances: map[string][]Instance{"leaf": instances}, CallGraph: graph.Edges{"call": {"leaf": 1}}, Shares: sameNamedService,
 		}
 	}
-	// The slow one does 10 / 0.2 s = 50 a second, the fast one 200.
-	learn := func(p *Planner, now time.Time) {
+	// The slow instance serves 10 / 0.2 s = 50 requests per second, the fast one 200.
+	recordBoth := func(p *Planner, now time.Time) {
 		p.RecordHoldTimes("leaf", slow.Host, []HoldTime{{Route: "leaf", Seconds: 20, Count: 100}}, now)
 		p.RecordHoldTimes("leaf", fast.Host, []HoldTime{{Route: "leaf", Seconds: 20, Count: 400}}, now)
 	}
 	for _, c := range []struct {
-		name  string
-		there []Instance
-		want  float64
-	}{{"both", []Instance{slow, fast}, 250}, {"the slow one alone", []Instance{slow}, 50}, {"the fast one alone", []Instance{fast}, 200}} {
-		Convey("As many are begun as the instances that are there can do: "+c.name, t, func() {
+		name      string
+		instances []Instance
+		want      float64
+	}{{"both", []Instance{slow, fast}, 250}, {"only the slow one", []Instance{slow}, 50}, {"only the fast one", []Instance{fast}, 200}} {
+		Convey("Admissions match the capacity of the current instances: "+c.name, t, func() {
 			p, now := New(), time.Unix(1000, 0)
-			learn(p, now)
-			p.Plan(state(targetFull, slow, fast), now)
-			begun := 1000 * p.Plan(state(targetFull, c.there...), now.Add(50*time.Millisecond))[call]
-			So(begun, ShouldBeBetween, 0.85*c.want, 1.15*c.want)
+			recordBoth(p, now)
+			p.Plan(state(targetSaturation, slow, fast), now)
+			admitted := 1000 * p.Plan(state(targetSaturation, c.instances...), now.Add(50*time.Millisecond))[call]
+			So(admitted, ShouldBeBetween, 0.85*c.want, 1.15*c.want)
 		})
 	}
-	Convey("A correction that was found on one instance is not believed of four others", t, func() {
+	Convey("A correction found on one instance is mostly dropped when four others join", t, func() {
 		p, now := New(), time.Unix(1000, 0)
-		learn(p, now)
+		recordBoth(p, now)
 		for range 40 {
 			now = now.Add(100 * time.Millisecond)
-			p.Plan(state(leastFull, slow), now)
+			p.Plan(state(minSaturation, slow), now)
 		}
-		So(p.services["leaf"].factor, ShouldAlmostEqual, mostFactor)
-		p.Plan(state(targetFull, slow, fast, fast, fast, fast), now)
-		So(p.services["leaf"].factor, ShouldBeLessThan, 1+(mostFactor-1)/4)
+		So(p.services["leaf"].correction, ShouldAlmostEqual, maxCorrection)
+		p.Plan(state(targetSaturation, slow, fast, fast, fast, fast), now)
+		So(p.services["leaf"].correction, ShouldBeLessThan, 1+(maxCorrection-1)/4)
 	})
 }
--- a/internal/decide/allot/shortage.go
+++ b/internal/decide/allot/shortage.go
@@ -7,56 +7,56 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/shed"
 )
 
-// Shortage is a service that can't do all that is asked of it, with what the last plan was made from.
+// Shortage is a service that can't serve all of its demand, with the inputs and the result of the last plan.
 type Shortage struct {
 	Service string `json:"service"`
-	// Resource names what is short: slots, or repeats a second, for which the other fields are meant then.
+	// Resource names the exhausted resource, slots or repeats. For repeats, the slot fields are in retries per second.
 	Resource   string  `json:"of"`
 	Slots      float64 `json:"slots"`
 	Saturation float64 `json:"fullness"`
-	// Factor corrects the slots by how full they were found to be; Requested are the slots that all requests would take, Given those
-	// that the requests that are begun should take.
-	Factor    float64 `json:"factor"`
-	Requested float64 `json:"asked"`
-	Given     float64 `json:"given"`
+	// Correction is the lasting correction of the slots by measured saturation, Requested the slots that all demand would take, and
+	// Allocated the slots that the admitted requests should take.
+	Correction float64 `json:"factor"`
+	Requested  float64 `json:"asked"`
+	Allocated  float64 `json:"given"`
 }
 
-// Shortages returns the services that were short in the last plan, by name.
+// Shortages returns the services that limited the last plan, ordered by name.
 func (p *Planner) Shortages() []Shortage {
 	var all []Shortage
-	for name, v := range p.services {
-		if v.short {
-			all = append(all, Shortage{name, slots.String(), v.slots, v.full, v.factor, v.asked, v.used * v.slots})
+	for name, s := range p.services {
+		if s.constrained {
+			all = append(all, Shortage{name, slots.String(), s.slots, s.saturation, s.correction, s.requested, s.allocatedFraction * s.slots})
 		}
 	}
-	all = append(all, p.unrepeated...)
+	all = append(all, p.retryShortages...)
 	slices.SortFunc(all, func(a, b Shortage) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Resource, b.Resource))
 	})
 	return all
 }
 
-// note keeps what the plan gives out, for the next correction.
-func (p *Planner) note(lanes []lane, open map[shed.Class]float64, room map[resource]float64) {
-	used, asked := map[resource]float64{}, map[resource]float64{}
-	for _, l := range lanes {
-		for what, need := range l.needs {
-			asked[what] += need
-			used[what] += need * open[l.Class]
+// recordPlan records what the plan allocates, for the next correction.
+func (p *Planner) recordPlan(classes []classNeeds, fractions map[shed.Class]float64, capacity map[resource]float64) {
+	allocated, requested := map[resource]float64{}, map[resource]float64{}
+	for _, c := range classes {
+		for r, need := range c.needs {
+			requested[r] += need
+			allocated[r] += need * fractions[c.Class]
 		}
 	}
-	p.unrepeated = nil
-	for what, left := range room {
-		if what.use == again && used[what] >= shortFrom*left {
-			p.unrepeated = append(p.unrepeated, Shortage{Service: what.service, Resource: again.String(), Slots: left, Requested: asked[what], Given: used[what]})
+	p.retryShortages = nil
+	for r, available := range capacity {
+		if r.kind == retries && allocated[r] >= exhaustedFraction*available {
+			p.retryShortages = append(p.retryShortages, Shortage{Service: r.service, Resource: retries.String(), Slots: available, Requested: requested[r], Allocated: allocated[r]})
 		}
 	}
-	for name, v := range p.services {
-		own := resource{name, slots}
-		v.used, v.short, v.asked = 0, false, asked[own]
-		if v.slots > 0 {
-			v.used = used[own] / v.slots
-			v.short = used[own] >= shortFrom*room[own]
+	for name, s := range p.services {
+		key := resource{name, slots}
+		s.allocatedFraction, s.constrained, s.requested = 0, false, requested[key]
+		if s.slots > 0 {
+			s.allocatedFraction = allocated[key] / s.slots
+			s.constrained = allocated[key] >= exhaustedFraction*capacity[key]
 		}
 	}
 }
--- a/internal/decide/allot/surge_test.go
+++ b/internal/decide/allot/surge_test.go
@@ -11,178 +11,178 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/graph"
 )
 
-// world is a fleet of fronts before a service of trucks, to which a lookup makes ten calls and a payment five, of 15 ms each.
-type world struct {
-	slots   float64
-	fronts  []*shed.Shedder
-	planner *Planner
-	rng     *rand.Rand
-	now     time.Time
-	queue   float64
-	// full, held and count add up what the service is found to be since the last beat.
-	full, held float64
-	beats      int
-	asked      []map[shed.Class]float64
-	// shown is the fullness of the beat before: what a collector knows is as old as that.
-	shown float64
-	plan  []shed.Allocation
+// model simulates ingress daemons in front of one service, trucks; a lookup makes ten sub-calls to it and a payment five, of 15 ms each.
+type model struct {
+	slots     float64
+	ingresses []*shed.Shedder
+	planner   *Planner
+	rng       *rand.Rand
+	now       time.Time
+	queue     float64
+	// saturation and holdSeconds are sums over the ticks since the last heartbeat.
+	saturation, holdSeconds float64
+	ticks                   int
+	demands                 []map[shed.Class]float64
+	// reportedSaturation is the mean saturation of the heartbeat interval before, since a collector's data is that old.
+	reportedSaturation float64
+	plan               []shed.Allocation
 }
 
 var (
 	lookups  = shed.Class{Route: "lookup", Service: "front", Rank: shed.Rank{Organisation: 2, Route: 2}}
 	payments = shed.Class{Route: "payment", Service: "front"}
 	photos   = shed.Class{Route: "photo", Service: "photos", Rank: shed.Rank{Organisation: 2, Route: 2}}
-	// work is how long one request of each lane holds a truck's slot, in seconds.
-	work = map[shed.Class]float64{lookups: 0.15, payments: 0.075, photos: 0}
+	// slotSeconds is the slot time of trucks that one request of each class takes.
+	slotSeconds = map[shed.Class]float64{lookups: 0.15, payments: 0.075, photos: 0}
 )
 
 const (
-	tick     = 10 * time.Millisecond
-	beatGap  = 30
-	truckJob = 0.015
-	// mostWait is how long a call waits before it is given up, in seconds: what comes then is lost after most of its work.
-	mostWait = 0.25
+	tick              = 10 * time.Millisecond
+	ticksPerHeartbeat = 30
+	callSeconds       = 0.015
+	// maxWait is the queueing time in seconds from which on a sub-call is given up, which wastes most of the request's work.
+	maxWait = 0.25
 )
 
-func newWorld(fronts int, slots float64, seed uint64) *world {
-	w := &world{slots: slots, planner: New(), rng: rand.New(rand.NewPCG(seed, uint64(fronts))), now: time.Unix(1000, 0)}
-	for range fronts {
-		w.fronts = append(w.fronts, shed.New(shed.WithRand(w.rng.Float64)))
-		w.asked = append(w.asked, nil)
+func newModel(ingresses int, slots float64, seed uint64) *model {
+	m := &model{slots: slots, planner: New(), rng: rand.New(rand.NewPCG(seed, uint64(ingresses))), now: time.Unix(1000, 0)}
+	for range ingresses {
+		m.ingresses = append(m.ingresses, shed.New(shed.WithRand(m.rng.Float64)))
+		m.demands = append(m.demands, nil)
 	}
-	return w
+	return m
 }
 
-// done is what came of a lane's requests.
-type done struct{ asked, whole float64 }
+// outcome counts the requests of a class.
+type outcome struct{ offered, completed float64 }
 
-// step plays one tick of so many requests a second and returns what was finished.
-func (w *world) step(perSecond map[shed.Class]float64, into map[shed.Class]*done) {
-	w.now = w.now.Add(tick)
+// step simulates one tick at the given arrival rates and adds the results to outcomes.
+func (m *model) step(perSecond map[shed.Class]float64, outcomes map[shed.Class]*outcome) {
+	m.now = m.now.Add(tick)
 	load := 0.0
-	for _, l := range []shed.Class{lookups, payments, photos} {
-		for due := perSecond[l] * tick.Seconds(); due > 0; due-- {
-			if due < 1 && w.rng.Float64() >= due {
+	for _, class := range []shed.Class{lookups, payments, photos} {
+		for pending := perSecond[class] * tick.Seconds(); pending > 0; pending-- {
+			if pending < 1 && m.rng.Float64() >= pending {
 				continue
 			}
-			d := into[l]
-			if d == nil {
-				d = &done{}
-				into[l] = d
+			o := outcomes[class]
+			if o == nil {
+				o = &outcome{}
+				outcomes[class] = o
 			}
-			d.asked++
-			if !w.fronts[w.rng.IntN(len(w.fronts))].Admit(l, 0, w.now).Admitted {
+			o.offered++
+			if !m.ingresses[m.rng.IntN(len(m.ingresses))].Admit(class, 0, m.now).Admitted {
 				continue
 			}
-			if work[l] > 0 && w.queue/w.slots > mostWait {
-				// Some of its calls were run, and one was given up.
-				load += work[l] / 2
+			if slotSeconds[class] > 0 && m.queue/m.slots > maxWait {
+				// Some of its sub-calls ran before one was given up.
+				load += slotSeconds[class] / 2
 				continue
 			}
-			load += work[l]
-			d.whole++
+			load += slotSeconds[class]
+			o.completed++
 		}
 	}
-	room := w.slots * tick.Seconds()
-	ran := min(w.queue+load, room)
-	w.queue += load - ran
-	w.full += ran/room + w.queue/w.slots/0.05
-	w.held += ran
-	if w.beats++; w.beats%beatGap == 0 {
-		w.beat()
+	capacity := m.slots * tick.Seconds()
+	executed := min(m.queue+load, capacity)
+	m.queue += load - executed
+	m.saturation += executed/capacity + m.queue/m.slots/0.05
+	m.holdSeconds += executed
+	if m.ticks++; m.ticks%ticksPerHeartbeat == 0 {
+		m.heartbeat()
 	}
 }
 
-// beat tells the collector of everything; what it answers was worked out from the beat before.
-func (w *world) beat() {
-	for n, f := range w.fronts {
+// heartbeat reports demand and hold times to the planner; daemons apply the plan of the heartbeat before.
+func (m *model) heartbeat() {
+	for i, s := range m.ingresses {
 		rates := map[shed.Class]float64{}
-		for _, r := range f.Demand(w.now) {
+		for _, r := range s.Demand(m.now) {
 			rates[r.Class] = r.PerSecond
 		}
-		w.asked[n] = rates
+		m.demands[i] = rates
 	}
-	for _, f := range w.fronts {
-		f.Apply(w.plan, w.now)
+	for _, s := range m.ingresses {
+		s.Apply(m.plan, m.now)
 	}
 	demand := map[shed.Class]float64{}
-	for _, rates := range w.asked {
-		for l, perSecond := range rates {
-			demand[l] += perSecond
+	for _, rates := range m.demands {
+		for class, perSecond := range rates {
+			demand[class] += perSecond
 		}
 	}
-	w.planner.RecordHoldTimes("trucks", host, []HoldTime{{Route: "leg", Seconds: w.held, Count: int(w.held / truckJob)}}, w.now)
-	w.plan = nil
-	for l, open := range w.planner.Plan(State{
-		Demand: demand, Slots: map[string]float64{"trucks": w.slots}, Saturation: map[string]float64{"trucks": w.shown},
+	m.planner.RecordHoldTimes("trucks", host, []HoldTime{{Route: "leg", Seconds: m.holdSeconds, Count: int(m.holdSeconds / callSeconds)}}, m.now)
+	m.plan = nil
+	for class, fraction := range m.planner.Plan(State{
+		Demand: demand, Slots: map[string]float64{"trucks": m.slots}, Saturation: map[string]float64{"trucks": m.reportedSaturation},
 		CallGraph: graph.Edges{"lookup": {"leg": 10}, "payment": {"leg": 5}},
 		Shares: func(route string) map[string]float64 {
 			return map[string]map[string]float64{"leg": {"trucks": 1}}[route]
 		},
-	}, w.now) {
-		w.plan = append(w.plan, shed.Allocation{Class: l, AdmitFraction: open})
+	}, m.now) {
+		m.plan = append(m.plan, shed.Allocation{Class: class, AdmitFraction: fraction})
 	}
-	w.shown, w.full, w.held = w.full/beatGap, 0, 0
+	m.reportedSaturation, m.saturation, m.holdSeconds = m.saturation/ticksPerHeartbeat, 0, 0
 }
 
-func (w *world) play(seconds int, perSecond map[shed.Class]float64) map[shed.Class]*done {
-	into := map[shed.Class]*done{}
+func (m *model) play(seconds int, perSecond map[shed.Class]float64) map[shed.Class]*outcome {
+	outcomes := map[shed.Class]*outcome{}
 	for range seconds * int(time.Second/tick) {
-		w.step(perSecond, into)
+		m.step(perSecond, outcomes)
 	}
-	return into
+	return outcomes
 }
 
-func (d *done) share() float64 { return d.whole / d.asked }
+func (o *outcome) completedFraction() float64 { return o.completed / o.offered }
 
 func TestSurge(t *testing.T) {
-	// Lookups and payments end at a few trucks' slots deep down. A surge brings twice, or ten times, what these can do; refused
-	// there, most of what was begun fails after nearly all of its work, and callers come again with more.
-	Convey("Within a second or two the slots are in use for work that is finished, and what goes first gets through", t, func() {
+	// Guards against a surge of 1.5 or ten times the usual load on a small service deep in the call graph: requests refused at that
+	// service fail after nearly all of their work, and client retries add more load.
+	Convey("Within two seconds the slots do work that completes, and higher-priority traffic gets through", t, func() {
 		for _, c := range []struct {
-			fronts int
-			times  float64
-			paid   float64
+			ingresses   int
+			surgeFactor float64
+			minPayments float64
 		}{{4, 1.5, 0.9}, {16, 1.5, 0.9}, {72, 1.5, 0.9}, {16, 10, 0.2}, {72, 10, 0.2}} {
-			w := newWorld(c.fronts, 60, 1)
+			m := newModel(c.ingresses, 60, 1)
 			usual := map[shed.Class]float64{lookups: 250, payments: 100, photos: 100}
-			before := w.play(10, usual)
-			So(before[lookups].share(), ShouldBeGreaterThan, 0.98)
-			surge := map[shed.Class]float64{lookups: 250 * c.times, payments: 100 * c.times, photos: 100}
-			w.play(2, surge)
-			after := w.play(20, surge)
+			before := m.play(10, usual)
+			So(before[lookups].completedFraction(), ShouldBeGreaterThan, 0.98)
+			surge := map[shed.Class]float64{lookups: 250 * c.surgeFactor, payments: 100 * c.surgeFactor, photos: 100}
+			m.play(2, surge)
+			after := m.play(20, surge)
 			finished := 0.0
-			for l, d := range after {
-				finished += d.whole * work[l]
+			for class, o := range after {
+				finished += o.completed * slotSeconds[class]
 			}
 			So(finished/(60*20), ShouldBeGreaterThan, 0.8)
-			So(after[payments].share(), ShouldBeGreaterThan, c.paid)
-			So(after[payments].share(), ShouldBeGreaterThan, after[lookups].share())
-			So(after[photos].share(), ShouldBeGreaterThan, 0.99)
-			// The lookups have their least part: half of what they would have if all were alike.
-			So(after[lookups].share(), ShouldBeGreaterThan, 0.4*60/(45*c.times))
+			So(after[payments].completedFraction(), ShouldBeGreaterThan, c.minPayments)
+			So(after[payments].completedFraction(), ShouldBeGreaterThan, after[lookups].completedFraction())
+			So(after[photos].completedFraction(), ShouldBeGreaterThan, 0.99)
+			// Lookups keep a minimum: about half of what they would get if all classes were equal.
+			So(after[lookups].completedFraction(), ShouldBeGreaterThan, 0.4*60/(45*c.surgeFactor))
 		}
 	})
-	// The surge is over, and what it left behind must not keep callers out.
-	Convey("Seconds after the surge nobody is turned away", t, func() {
-		w := newWorld(16, 60, 2)
+	// Guards against corrections left over from a surge that keep rejecting requests after it.
+	Convey("Three seconds after the surge nearly all requests are admitted", t, func() {
+		m := newModel(16, 60, 2)
 		usual := map[shed.Class]float64{lookups: 250, payments: 100, photos: 100}
-		w.play(5, usual)
-		w.play(10, map[shed.Class]float64{lookups: 2500, payments: 1000, photos: 100})
-		w.play(3, usual)
-		for _, d := range w.play(10, usual) {
-			So(d.share(), ShouldBeGreaterThan, 0.98)
+		m.play(5, usual)
+		m.play(10, map[shed.Class]float64{lookups: 2500, payments: 1000, photos: 100})
+		m.play(3, usual)
+		for _, o := range m.play(10, usual) {
+			So(o.completedFraction(), ShouldBeGreaterThan, 0.98)
 		}
 	})
-	// An instance is lost, and its part of the slots with it.
-	Convey("With fewer slots less is begun, and what is begun is finished", t, func() {
-		w := newWorld(16, 60, 3)
+	// Guards against overload of the remaining slots when an instance is lost.
+	Convey("With fewer slots fewer requests are admitted, and those complete", t, func() {
+		m := newModel(16, 60, 3)
 		usual := map[shed.Class]float64{lookups: 250, payments: 100, photos: 100}
-		w.play(5, usual)
-		w.slots = 40
-		w.play(2, usual)
-		after := w.play(10, usual)
-		So((after[lookups].whole*work[lookups]+after[payments].whole*work[payments])/(40*10), ShouldBeGreaterThan, 0.85)
-		So(after[payments].share(), ShouldBeGreaterThan, 0.95)
+		m.play(5, usual)
+		m.slots = 40
+		m.play(2, usual)
+		after := m.play(10, usual)
+		So((after[lookups].completed*slotSeconds[lookups]+after[payments].completed*slotSeconds[payments])/(40*10), ShouldBeGreaterThan, 0.85)
+		So(after[payments].completedFraction(), ShouldBeGreaterThan, 0.95)
 	})
 }
--- a/internal/decide/allot/waste.go
+++ b/internal/decide/allot/waste.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// waste is how many requests have reached a service's instances over the last moments, and how many of them in vain.
-type waste struct {
-	wasted, seen float64
-	at           time.Time
+// deliveryStats are decayed counts of the requests delivered to a service's instances, and of those that must be retried.
+type deliveryStats struct {
+	retryable, delivered float64
+	updated              time.Time
 }
 
-// metTime is how long it is remembered how many requests have reached a service's instances in vain.
-const metTime = 400 * time.Millisecond
+// deliveryTimeConstant is the time constant of the decay.
+const deliveryTimeConstant = 400 * time.Millisecond
 
-// RecordDeliveries takes in how many requests an instance of the service has seen, and how many of them have to be sent again: it turned them
-// away, or its answer was lost or a failure of its own.
-func (p *Planner) RecordDeliveries(service string, seen, wasted int, now time.Time) {
-	m := p.met[service]
-	if m == nil {
-		m = &waste{at: now}
-		p.met[service] = m
+// RecordDeliveries records how many requests were delivered to an instance of the service, and how many of them must be retried: the
+// instance declined them, the response was lost, or the instance failed.
+func (p *Planner) RecordDeliveries(service string, delivered, retryable int, now time.Time) {
+	d := p.deliveries[service]
+	if d == nil {
+		d = &deliveryStats{updated: now}
+		p.deliveries[service] = d
 	}
-	fade := math.Exp(-now.Sub(m.at).Seconds() / metTime.Seconds())
-	m.wasted = m.wasted*fade + float64(wasted)
-	m.seen = m.seen*fade + float64(seen)
-	m.at = now
+	decay := math.Exp(-now.Sub(d.updated).Seconds() / deliveryTimeConstant.Seconds())
+	d.retryable = d.retryable*decay + float64(retryable)
+	d.delivered = d.delivered*decay + float64(delivered)
+	d.updated = now
 }
 
 const (
-	// leastWasted is the part that comes to nothing from which on it is planned for: now and then an instance is full.
-	leastWasted = 0.03
-	// mostWasted bounds the part that counts, since some must be begun to find out that it has become less.
-	mostWasted = 0.95
-	// fewSeen is how many requests make up a part that can be told.
-	fewSeen = 5
+	// minRetryableFraction is the fraction below which retries aren't planned for: an instance is full now and then.
+	minRetryableFraction = 0.03
+	// maxRetryableFraction bounds the fraction, since some requests must be admitted to find out that it has fallen.
+	maxRetryableFraction = 0.95
+	// minDelivered is the smallest number of deliveries that gives a usable fraction.
+	minDelivered = 5
 )
 
-// repeats is how often a request is sent once more to the service until an instance takes it.
-func (p *Planner) repeats(service string) float64 {
-	m := p.met[service]
-	if m == nil || m.seen < fewSeen {
+// retriesPerDelivery returns the expected number of retries until an instance of the service accepts a request.
+func (p *Planner) retriesPerDelivery(service string) float64 {
+	d := p.deliveries[service]
+	if d == nil || d.delivered < minDelivered {
 		return 0
 	}
-	wasted := min(m.wasted/m.seen, mostWasted)
-	if wasted < leastWasted {
+	retryable := min(d.retryable/d.delivered, maxRetryableFraction)
+	if retryable < minRetryableFraction {
 		return 0
 	}
-	return wasted / (1 - wasted)
+	return retryable / (1 - retryable)
 }
