--- a/internal/decide/repeats/counts.go
+++ b/internal/decide/repeats/counts.go
@@ -3,51 +3,52 @@
 import "time"
 
 const (
-	// perWindow is the number of parts that a window is counted in.
-	perWindow = 20
-	// remembered is the number of parts that are kept, two windows.
-	remembered = 2 * perWindow
-	// recently is how many parts make up what goes on at a moment.
-	recently = 2
+	// bucketsPerWindow is the number of buckets that a window is divided into.
+	bucketsPerWindow = 20
+	// bucketCount is the number of buckets kept: two windows.
+	bucketCount = 2 * bucketsPerWindow
+	// recentBuckets is the number of buckets that a current rate is computed from.
+	recentBuckets = 2
 )
 
-// counts has what happened in each part of the last two windows.
+// counts counts events in time buckets over the last two windows.
 type counts struct {
-	parts [remembered]float64
-	// last is the number of the newest part since the beginning of time.
-	last int64
-	// sums are those of the window that ends now, half a window ago, and one window ago; rates those of the moments.
+	buckets [bucketCount]float64
+	// newest is the number of the newest bucket, counted from the Unix epoch.
+	newest int64
+	// sums are the totals of the windows that end now, half a window ago and one window ago; rates are the totals of the most recent
+	// buckets of each.
 	sums, rates [3]float64
 }
 
 func (c *counts) add(now time.Time, window time.Duration, amount float64) {
-	c.turn(now, window)
-	c.parts[c.last%remembered] += amount
+	c.advance(now, window)
+	c.buckets[c.newest%bucketCount] += amount
 	c.sums[0] += amount
 	c.rates[0] += amount
 }
 
-// turn begins the parts that are due.
-func (c *counts) turn(now time.Time, window time.Duration) {
-	part := now.UnixNano()/max(int64(window)/perWindow, 1) + remembered
-	if part <= c.last {
+// advance clears the buckets up to the current one and recomputes the totals.
+func (c *counts) advance(now time.Time, window time.Duration) {
+	current := now.UnixNano()/max(int64(window)/bucketsPerWindow, 1) + bucketCount
+	if current <= c.newest {
 		return
 	}
-	for n := max(c.last+1, part-remembered+1); n <= part; n++ {
-		c.parts[n%remembered] = 0
+	for n := max(c.newest+1, current-bucketCount+1); n <= current; n++ {
+		c.buckets[n%bucketCount] = 0
 	}
-	c.last = part
-	for which := range c.sums {
-		c.sums[which] = c.sum(int64(which)*perWindow/2, perWindow)
-		c.rates[which] = c.sum(int64(which)*perWindow/2, recently)
+	c.newest = current
+	for i := range c.sums {
+		c.sums[i] = c.sum(int64(i)*bucketsPerWindow/2, bucketsPerWindow)
+		c.rates[i] = c.sum(int64(i)*bucketsPerWindow/2, recentBuckets)
 	}
 }
 
-// sum adds up so many parts before the one that is back from the newest.
-func (c *counts) sum(back, parts int64) float64 {
+// sum adds up a number of buckets, going back from the one that is offset buckets before the newest.
+func (c *counts) sum(offset, length int64) float64 {
 	total := 0.0
-	for n := back; n < min(back+parts, remembered); n++ {
-		total += c.parts[(c.last-n)%remembered]
+	for n := offset; n < min(offset+length, bucketCount); n++ {
+		total += c.buckets[(c.newest-n)%bucketCount]
 	}
 	return total
 }
--- a/internal/decide/repeats/doc.go
+++ b/internal/decide/repeats/doc.go
@@ -1,3 +1,3 @@
-// Package repeats bounds how often a daemon sends requests once more, so that
-// repeats don't keep an overload going after its cause is gone.
+// Package repeats limits how many retries a daemon sends, so that retries don't
+// sustain an overload after its cause is gone.
 package repeats
--- a/internal/decide/repeats/repeats_test.go
+++ b/internal/decide/repeats/repeats_test.go
@@ -12,151 +12,151 @@
 )
 
 func TestFleetStaysWithinTheBound(t *testing.T) {
-	// Every instance of a service turns everything away, and every daemon would like to repeat every request at
-	// once. The service would get twice its load at the moment at which it can bear least.
-	Convey("All daemons together repeat less than the bound in every window", t, func() {
-		bounds := Limits{Ratio: 0.2, Slack: 48, Window: 10 * time.Second}
+	// Guards against a retry storm: all instances of a service decline everything and every daemon retries every request at
+	// once, which would double the load when the service can least bear it.
+	Convey("All daemons together stay within the retry budget in every window", t, func() {
+		limits := Limits{Ratio: 0.2, Slack: 48, Window: 10 * time.Second}
 		for _, daemons := range []int{1, 14, 72} {
 			rng := rand.New(rand.NewPCG(1, uint64(daemons)))
 			fleet := make([]*Budget, daemons)
 			for i := range fleet {
-				fleet[i] = New(bounds)
+				fleet[i] = New(limits)
 				fleet[i].SetDaemons(daemons)
 			}
-			var requests, repeats []time.Duration
+			var requests, retries []time.Duration
 			start := time.Unix(0, 0)
 			for at := time.Duration(0); at < 40*time.Second; at += 10 * time.Millisecond {
-				d := fleet[rng.IntN(daemons)]
+				b := fleet[rng.IntN(daemons)]
 				requests = append(requests, at)
-				d.Earn("s", start.Add(at))
+				b.Earn("s", start.Add(at))
 				for range 3 {
-					if d.Spend("s", call.Interactive, start.Add(at)) {
-						repeats = append(repeats, at)
+					if b.Spend("s", call.Interactive, start.Add(at)) {
+						retries = append(retries, at)
 					}
 				}
 			}
 			for from := time.Duration(0); from < 30*time.Second; from += time.Second {
-				So(counted(repeats, from, bounds.Window), ShouldBeLessThanOrEqualTo,
-					bounds.Ratio*counted(requests, from, bounds.Window)+bounds.Slack)
+				So(countIn(retries, from, limits.Window), ShouldBeLessThanOrEqualTo,
+					limits.Ratio*countIn(requests, from, limits.Window)+limits.Slack)
 			}
-			So(len(repeats), ShouldBeGreaterThan, len(requests)/20)
+			So(len(retries), ShouldBeGreaterThan, len(requests)/20)
 		}
 	})
 }
 
-func TestRepeatsFromAbove(t *testing.T) {
-	// Lookups are repeated to the bound, and each calls a second service once. That one fails too, and its calls would be
-	// repeated to the bound as well: twice the bound in all.
-	Convey("What repeated runs call counts against the repeats of the service that they call", t, func() {
-		bounds := Limits{Ratio: 0.2, Slack: 48, Window: 10 * time.Second}
+func TestRetriedSubCallsAreCharged(t *testing.T) {
+	// Guards against retries that multiply along the call path: lookups use their full retry budget, each calls a second
+	// service that fails too, and its sub-calls would use a full budget again.
+	Convey("Sub-calls of retried runs are charged to the budget of the service that they call", t, func() {
+		limits := Limits{Ratio: 0.2, Slack: 48, Window: 10 * time.Second}
 		rng := rand.New(rand.NewPCG(1, 9))
-		above, below := New(bounds), New(bounds)
+		upper, lower := New(limits), New(limits)
 		start := time.Unix(0, 0)
-		requests, repeats := 0, 0
+		requests, retries := 0, 0
 		for at := time.Duration(0); at < 60*time.Second; at += 10 * time.Millisecond {
 			now := start.Add(at)
-			above.Earn("a", now)
-			below.Earn("b", now)
+			upper.Earn("a", now)
+			lower.Earn("b", now)
 			requests++
-			if above.Spend("a", call.Interactive, now) {
-				below.Charge("b", now)
-				repeats++
+			if upper.Spend("a", call.Interactive, now) {
+				lower.Charge("b", now)
+				retries++
 			}
-			if rng.Float64() < 0.9 && below.Spend("b", call.Interactive, now) {
-				repeats++
+			if rng.Float64() < 0.9 && lower.Spend("b", call.Interactive, now) {
+				retries++
 			}
 		}
-		So(float64(repeats), ShouldBeLessThan, bounds.Ratio*float64(requests)+bounds.Slack*6)
+		So(float64(retries), ShouldBeLessThan, limits.Ratio*float64(requests)+limits.Slack*6)
 	})
 }
 
-func counted(all []time.Duration, from, window time.Duration) float64 {
-	n := 0.0
-	for _, at := range all {
+func countIn(times []time.Duration, from, window time.Duration) float64 {
+	total := 0.0
+	for _, at := range times {
 		if at >= from && at < from+window {
-			n++
+			total++
 		}
 	}
-	return n
+	return total
 }
 
-func TestRepeatsWhenFewerAreBegun(t *testing.T) {
-	// Guards against having no repeats left just when a service begins to turn requests away and fronts begin less of them.
-	Convey("What was seen before counts, and the bound holds in every window", t, func() {
-		bounds := Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
+func TestBudgetWhenAdmissionsFall(t *testing.T) {
+	// Guards against an empty retry budget just when a service begins to decline requests and ingress daemons admit fewer.
+	Convey("Earlier requests still earn retries, and every window stays within the budget", t, func() {
+		limits := Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
 		for _, c := range []struct {
 			daemons int
-			left    float64
-			// period is how long requests go on as before and then fall to what is left, by turns.
+			reduced float64
+			// period is the length of the alternating phases of full and of reduced traffic.
 			period time.Duration
 		}{{1, 0.1, 20 * time.Second}, {3, 0.1, 20 * time.Second}, {17, 0.3, 20 * time.Second}, {3, 0, 20 * time.Second}, {3, 0, 5 * time.Second}, {3, 0, 7 * time.Second}} {
 			rng := rand.New(rand.NewPCG(2, uint64(c.daemons)))
 			fleet := make([]*Budget, c.daemons)
 			for i := range fleet {
-				fleet[i] = New(bounds)
+				fleet[i] = New(limits)
 				fleet[i].SetDaemons(c.daemons)
 			}
-			var requests, repeats []time.Duration
+			var requests, retries []time.Duration
 			start := time.Unix(0, 0)
 			for at := time.Duration(0); at < 50*time.Second; at += time.Millisecond {
-				d := fleet[rng.IntN(c.daemons)]
-				if at/c.period%2 == 0 || rng.Float64() < c.left {
+				b := fleet[rng.IntN(c.daemons)]
+				if at/c.period%2 == 0 || rng.Float64() < c.reduced {
 					requests = append(requests, at)
-					d.Earn("s", start.Add(at))
+					b.Earn("s", start.Add(at))
 				}
-				for at > 5*time.Second && d.Spend("s", call.Interactive, start.Add(at)) {
-					repeats = append(repeats, at)
+				for at > 5*time.Second && b.Spend("s", call.Interactive, start.Add(at)) {
+					retries = append(retries, at)
 				}
 			}
 			for from := 10 * time.Second; from < 40*time.Second; from += 250 * time.Millisecond {
-				requested := max(counted(requests, from, bounds.Window), counted(requests, from-bounds.Window, bounds.Window),
-					counted(requests, from-bounds.Window/2, bounds.Window))
-				So(counted(repeats, from, bounds.Window), ShouldBeLessThanOrEqualTo, bounds.Ratio*requested+bounds.Slack)
+				requested := max(countIn(requests, from, limits.Window), countIn(requests, from-limits.Window, limits.Window),
+					countIn(requests, from-limits.Window/2, limits.Window))
+				So(countIn(retries, from, limits.Window), ShouldBeLessThanOrEqualTo, limits.Ratio*requested+limits.Slack)
 			}
 			if c.period == 20*time.Second {
-				So(counted(repeats, 20*time.Second, 5*time.Second), ShouldBeGreaterThan, 0.6*bounds.Ratio*5000)
+				So(countIn(retries, 20*time.Second, 5*time.Second), ShouldBeGreaterThan, 0.6*limits.Ratio*5000)
 			}
 		}
 	})
 }
 
-func TestRepeatsWhereTheyAreNeeded(t *testing.T) {
-	// Guards against repeats that lie idle at one daemon while requests of another fail for want of them.
-	// Guards against requests that need one repeat each failing beside those that need ten.
-	Convey("What the fleet may repeat goes to those that would like to, the same to all that want more, and is no more in all", t, func() {
+func TestGrantsFollowDemand(t *testing.T) {
+	// Guards against retries that stay unused at one daemon while requests of another fail without them, and
+	// against requests that need one retry each failing because others take ten.
+	Convey("The fleet's retries go to the daemons that want them, max-min fairly, without exceeding the total", t, func() {
 		for _, c := range []struct {
-			name  string
-			words []Rates
-			want  []float64
+			name    string
+			reports []Rates
+			want    []float64
 		}{
-			{"nobody wants", []Rates{{Earned: 30}, {Earned: 10}}, []float64{30, 10}},
-			{"one wants more than it earns", []Rates{{Earned: 30}, {Earned: 10, Wanted: 20}}, []float64{15, 25}},
-			{"one wants too much", []Rates{{Earned: 30, Wanted: 12}, {Earned: 10, Wanted: 68}}, []float64{12, 28}},
-			{"all want too much", []Rates{{Earned: 30, Wanted: 30}, {Earned: 10, Wanted: 60}}, []float64{20, 20}},
+			{"no demand", []Rates{{Earned: 30}, {Earned: 10}}, []float64{30, 10}},
+			{"one wants more than it earns, within the total", []Rates{{Earned: 30}, {Earned: 10, Wanted: 20}}, []float64{15, 25}},
+			{"one wants more than the total leaves", []Rates{{Earned: 30, Wanted: 12}, {Earned: 10, Wanted: 68}}, []float64{12, 28}},
+			{"all want more than a fair share", []Rates{{Earned: 30, Wanted: 30}, {Earned: 10, Wanted: 60}}, []float64{20, 20}},
 		} {
 			var fleet Rates
 			var wanted []float64
-			for _, w := range c.words {
-				wanted = append(wanted, w.Wanted)
-				fleet.Earned += w.Earned
-				fleet.Wanted += w.Wanted
+			for _, own := range c.reports {
+				wanted = append(wanted, own.Wanted)
+				fleet.Earned += own.Earned
+				fleet.Wanted += own.Wanted
 			}
-			most := FairCap(wanted, fleet.Earned)
-			for n, w := range c.words {
-				So(c.name+": "+fmt.Sprint(Grant(fleet, w, most)), ShouldEqual, c.name+": "+fmt.Sprint(c.want[n]))
+			limit := FairCap(wanted, fleet.Earned)
+			for i, own := range c.reports {
+				So(c.name+": "+fmt.Sprint(Grant(fleet, own, limit)), ShouldEqual, c.name+": "+fmt.Sprint(c.want[i]))
 			}
 		}
 	})
-	Convey("A daemon that earns few spends what others lend, until it hears no more", t, func() {
+	Convey("A daemon that earns few retries spends granted ones until the grant expires", t, func() {
 		b := New(Limits{Ratio: 0.2, Window: 10 * time.Second})
 		now := time.Unix(1000, 0)
 		own := map[string]Rates{"s": {}}
 		spent := 0
-		play := func(length time.Duration, hears bool) int {
+		play := func(duration time.Duration, granted bool) int {
 			spent = 0
-			for at := time.Duration(0); at < length; at += 10 * time.Millisecond {
+			for at := time.Duration(0); at < duration; at += 10 * time.Millisecond {
 				now = now.Add(10 * time.Millisecond)
-				if hears && at%(300*time.Millisecond) == 0 {
+				if granted && at%(300*time.Millisecond) == 0 {
 					b.Apply(map[string]float64{"s": 20}, own, now)
 				}
 				if b.Spend("s", call.Interactive, now) {
@@ -172,53 +172,53 @@
 	})
 }
 
-func TestRepeatsAfterARestartOfAll(t *testing.T) {
-	// Guards against a fleet that forgets with a restart what it has repeated, and repeats as much again within the same window.
-	Convey("The bound holds in every window around the restart", t, func() {
-		bounds := Limits{Ratio: 0.2, Slack: 49, Window: 10 * time.Second}
+func TestBudgetAfterFleetRestart(t *testing.T) {
+	// Guards against a restarted fleet that has lost its counts and spends its budget a second time within the same window.
+	Convey("Every window around the restart stays within the budget", t, func() {
+		limits := Limits{Ratio: 0.2, Slack: 49, Window: 10 * time.Second}
 		const daemons, restart, end = 16, 25 * time.Second, 50 * time.Second
 		rng := rand.New(rand.NewPCG(3, 3))
 		var fleet []*Budget
-		begin := func() {
+		startAll := func() {
 			fleet = nil
 			for range daemons {
-				b := New(bounds)
+				b := New(limits)
 				b.SetDaemons(daemons)
 				fleet = append(fleet, b)
 			}
 		}
-		begin()
-		var requests, repeats []time.Duration
+		startAll()
+		var requests, retries []time.Duration
 		start := time.Unix(0, 0)
 		for at := time.Duration(0); at < end; at += 2 * time.Millisecond {
 			if at == restart {
-				begin()
+				startAll()
 			}
 			if at > restart && at < restart+time.Second {
 				continue
 			}
-			d := fleet[rng.IntN(daemons)]
+			b := fleet[rng.IntN(daemons)]
 			requests = append(requests, at)
-			d.Earn("s", start.Add(at))
+			b.Earn("s", start.Add(at))
 			for range 3 {
-				if d.Spend("s", call.Interactive, start.Add(at)) {
-					repeats = append(repeats, at)
+				if b.Spend("s", call.Interactive, start.Add(at)) {
+					retries = append(retries, at)
 				}
 			}
 		}
-		for from := time.Duration(0); from < end-bounds.Window; from += 250 * time.Millisecond {
-			// A quarter is left for repeats that no daemon sees: calls of repeated runs that are taken for those of others.
-			So(counted(repeats, from, bounds.Window), ShouldBeLessThanOrEqualTo, 0.75*(bounds.Ratio*counted(requests, from, bounds.Window)+bounds.Slack))
+		for from := time.Duration(0); from < end-limits.Window; from += 250 * time.Millisecond {
+			// A quarter is left for retries that no daemon counts: sub-calls of retried runs that look like those of first runs.
+			So(countIn(retries, from, limits.Window), ShouldBeLessThanOrEqualTo, 0.75*(limits.Ratio*countIn(requests, from, limits.Window)+limits.Slack))
 		}
 	})
 }
 
-// TestRepeatsByPriority guards against urgent requests that fail in the first second of a trouble, since all that was saved up went to the
-// many that go last.
-func TestRepeatsByPriority(t *testing.T) {
-	bounds := Limits{Ratio: 0.2, Slack: 124, Window: 10 * time.Second}
-	play := func(p call.Priority, granted float64) int {
-		b := New(bounds)
+// TestReserveByPriority guards against high-priority requests that fail in the first second of an outage because the many low-priority
+// ones took all saved retries.
+func TestReserveByPriority(t *testing.T) {
+	limits := Limits{Ratio: 0.2, Slack: 124, Window: 10 * time.Second}
+	play := func(priority call.Priority, granted float64) int {
+		b := New(limits)
 		now := time.Unix(1000, 0)
 		for range 2000 {
 			now = now.Add(10 * time.Millisecond)
@@ -227,19 +227,19 @@
 		own := map[string]Rates{"s": {Earned: b.rate(b.accounts["s"]), Wanted: 100}}
 		b.Apply(map[string]float64{"s": granted}, own, now)
 		sent := 0
-		for b.Spend("s", p, now) {
+		for b.Spend("s", priority, now) {
 			sent++
 		}
 		return sent
 	}
-	Convey("What goes last leaves most of what is saved up, and what goes first nothing, while the fleet is short", t, func() {
-		first, middle, last := play(call.Interactive, 80), play(call.Standard, 80), play(call.Background, 80)
-		So(last, ShouldBeGreaterThan, 0)
-		So(middle, ShouldBeGreaterThan, last)
-		So(first, ShouldBeGreaterThan, 3*last)
+	Convey("While the fleet has too few retries, the lowest priority leaves most saved ones and the highest none", t, func() {
+		interactive, standard, background := play(call.Interactive, 80), play(call.Standard, 80), play(call.Background, 80)
+		So(background, ShouldBeGreaterThan, 0)
+		So(standard, ShouldBeGreaterThan, background)
+		So(interactive, ShouldBeGreaterThan, 3*background)
 	})
-	// Guards against one daemon beside a faulty instance that lets lookups fail while the fleet has repeats left.
-	Convey("All may spend what is saved up while the fleet has enough", t, func() {
+	// Guards against lookups that fail at a daemon next to a faulty instance while the fleet still has retries.
+	Convey("All priorities may spend saved retries while the fleet has enough", t, func() {
 		So(play(call.Background, 120), ShouldEqual, play(call.Interactive, 120))
 	})
 }
