--- a/internal/decide/quota/doc.go
+++ b/internal/decide/quota/doc.go
@@ -1,4 +1,3 @@
-// Package quota holds each organisation to its rate over all daemons: a
-// collector keeps one token bucket for each organisation from what daemons tell
-// it, and says which part of its requests every daemon lets in.
+// Package quota limits the request rate of each organisation over all daemons: a collector keeps one token bucket for
+// each organisation, fed by the daemons' reports, and decides which fraction of its requests every daemon admits.
 package quota
--- a/internal/decide/quota/pool.go
+++ b/internal/decide/quota/pool.go
@@ -7,229 +7,230 @@
 	"time"
 )
 
-// Pool is the collector's side: a token bucket for each organisation over all daemons; it is used by one goroutine at a time.
+// Pool is the collector's part of rate limiting: a token bucket for each organisation over all daemons. It is not safe for concurrent use.
 //
-// A daemon sees only a few requests of an organisation between two words, and its callers move. Tokens dealt out to daemons would lie where
-// nobody asks for them, and a whole token each would be more than the rate in a fleet of hundreds. One part that holds on all
-// daemons needs neither: the sum of what is let in is that part of the demand, wherever it comes in.
+// A daemon sees only a few requests of an organisation between two heartbeats, and clients move between daemons. Tokens handed out to
+// daemons would often lie unused at the wrong ones, and a whole token for each daemon would exceed the rate in a fleet of hundreds.
+// An admitted fraction that is the same on all daemons avoids both: the total admitted is that fraction of the demand, wherever it arrives.
 type Pool struct {
 	rates   map[string]Rate
 	buckets map[string]*bucket
-	heard   map[teller]*report
-	// group sums up the counts of daemons since the pool began, for the fleet's collector.
-	group map[string]groupCount
-	// began is when the first daemon told this collector of itself; young tells that none of them had been running before.
-	began time.Time
-	young bool
-	// part is the part of the fleet that this collector speaks for.
-	part  float64
-	swept time.Time
-}
-
-// bucket is one organisation's tokens over the fleet.
+	reports map[reporter]*report
+	// totals are the sums of the daemons' counts since the pool started, for the fleet's collector.
+	totals map[string]timedCount
+	// started is when the first daemon reported to this collector; allNew means that all daemons that report had just started.
+	started time.Time
+	allNew  bool
+	// coverage is the fraction of all daemons that report to this collector.
+	coverage float64
+	swept    time.Time
+}
+
+// bucket is an organisation's token bucket over all daemons.
 type bucket struct {
-	// level is below 0 after more was let in than was known of.
-	level  float64
-	demand float64
-	at     time.Time
+	// level is negative while more requests were admitted than the collector knew of.
+	level   float64
+	demand  float64
+	updated time.Time
 }
 
-// groupCount is a count with when it last rose.
-type groupCount struct {
+// timedCount is a count and the time at which it last rose.
+type timedCount struct {
 	Count
-	at time.Time
+	raised time.Time
 }
 
-// teller is who tells counts: a daemon of itself, or the same one of its group.
-type teller struct {
-	from  netip.AddrPort
-	group bool
+// reporter identifies the source of counts: a daemon for itself, or the same daemon as the collector of its group.
+type reporter struct {
+	address netip.AddrPort
+	group   bool
 }
 
-// report is what one daemon has told last.
+// report is the latest report of one reporter.
 type report struct {
 	counts map[string]Count
-	// whole means that it has been heard since it began to count, so that what is named for the first time counts from nothing.
-	whole bool
-	at    time.Time
+	// fromStart means that the reporter has sent reports since it began to count, so that counts of an organisation named for the first
+	// time start at zero.
+	fromStart bool
+	received  time.Time
 }
 
 const (
-	// demandTime smooths the fleet's demand: some gaps between two words of one daemon.
-	demandTime = 600 * time.Millisecond
-	// spendTime is within how long tokens that were saved up may be spent: about as long as the collector's word is old. A debt is paid
-	// back within debtTime.
-	spendTime = 400 * time.Millisecond
-	debtTime  = time.Second
-	// margin and marginRequests let an organisation that is near its rate pass while its demand looks higher for a moment. The debt that
-	// they leave is paid back, so they add to a window only once.
-	margin         = 0.1
-	marginRequests = 3.0
-	// mostDebt bounds, as the time in which the rate makes up for it, what an organisation owes for requests that were let in before the
-	// collector knew of them: it is not shut out for longer.
-	mostDebt = 5 * time.Second
-	// leastDemand keeps a part finite, in requests a second.
-	leastDemand = 0.01
-	// mostHear is the part of the daemons from which on their word stands for all: a few restart or are lost at any time.
-	mostHear = 0.8
-	// silentAfter is how long a daemon's last counts are kept, some gaps between two words: one that comes back later has told another
-	// collector meanwhile, and what it let in then is not from just now.
-	silentAfter = time.Second
-	// youngTime is the age up to which a daemon's first counts are all from just now.
-	youngTime = 2 * time.Second
-	// sweepEvery is how often silent daemons and idle organisations are looked for.
-	sweepEvery = time.Second
-	// negligible is a demand that is not worth keeping, in requests a second.
-	negligible = 0.01
+	// demandTimeConstant smooths the fleet's demand over several heartbeat intervals.
+	demandTimeConstant = 600 * time.Millisecond
+	// surplusSpendTime is the time over which saved tokens may be spent: about the age of the collector's data. A negative level is paid
+	// back over debtRepayTime.
+	surplusSpendTime = 400 * time.Millisecond
+	debtRepayTime    = time.Second
+	// marginFraction of the rate and marginRate, in requests per second, are allowed beyond the rate, so that an organisation near its rate
+	// isn't limited when its demand looks higher for a moment. The resulting debt is paid back, so they add to a window only once.
+	marginFraction = 0.1
+	marginRate     = 3.0
+	// maxDebt bounds the debt for requests admitted before the collector knew of them, as the time in which the rate pays it back: an
+	// organisation is not blocked for longer.
+	maxDebt = 5 * time.Second
+	// minDemand avoids a division by zero, in requests per second.
+	minDemand = 0.01
+	// fullCoverage is the fraction of daemons whose reports count as those of all: a few restart or are lost at any time.
+	fullCoverage = 0.8
+	// reporterTTL is how long a reporter's counts are kept, several heartbeat intervals: a daemon that reports again later has reported to
+	// another collector meanwhile, and what it admitted in that time isn't recent.
+	reporterTTL = time.Second
+	// newUptime is the uptime up to which all of a daemon's first counts are recent.
+	newUptime = 2 * time.Second
+	// sweepInterval is the interval at which silent reporters and idle organisations are removed.
+	sweepInterval = time.Second
+	// negligibleDemand is a demand in requests per second that isn't worth keeping.
+	negligibleDemand = 0.01
 )
 
-// NewPool returns a pool without tokens, since those that were spent before it began are not known.
+// NewPool returns a pool without tokens, since those spent before it started are unknown.
 func NewPool() *Pool {
-	return &Pool{rates: map[string]Rate{}, buckets: map[string]*bucket{}, heard: map[teller]*report{}, group: map[string]groupCount{}, part: 1}
+	return &Pool{rates: map[string]Rate{}, buckets: map[string]*bucket{}, reports: map[reporter]*report{}, totals: map[string]timedCount{}, coverage: 1}
 }
 
-// Configure puts rates in force.
+// Configure sets the rate limits.
 func (p *Pool) Configure(rates map[string]Rate) { p.rates = rates }
 
-// SetCoverage tells how many of all daemons have told this collector of themselves lately.
+// SetCoverage sets how many of all daemons have reported to this collector recently.
 //
-// While the fleet is cut in two, each side hears of its own demand only. Were each to take it for all, both together
-// would let in twice the rate; so a side spends the part of the rate that it has of the daemons.
-func (p *Pool) SetCoverage(heard, all int) {
-	p.part = 1
-	if part := float64(heard) / float64(max(all, 1)); part < mostHear {
-		p.part = part
+// During a network partition each side knows only its own demand. If each side allowed the full rate, both together would admit twice
+// the rate, so a side uses the fraction of the rate that corresponds to its fraction of the daemons.
+func (p *Pool) SetCoverage(reporting, all int) {
+	p.coverage = 1
+	if coverage := float64(reporting) / float64(max(all, 1)); coverage < fullCoverage {
+		p.coverage = coverage
 	}
 }
 
-// Update counts what a daemon tells of itself, or a collector of its group; up is for how long it has been counting.
+// Update applies the counts of a daemon, or of a group's collector; up is for how long the reporter has been counting.
 func (p *Pool) Update(from netip.AddrPort, group bool, counts map[string]Count, up time.Duration, now time.Time) {
-	if p.began.IsZero() {
-		p.began, p.young = now, true
+	if p.started.IsZero() {
+		p.started, p.allNew = now, true
 	}
-	if now.Sub(p.swept) > sweepEvery {
+	if now.Sub(p.swept) > sweepInterval {
 		p.sweep(now)
 	}
-	who := teller{from, group}
-	last := p.heard[who]
-	if last == nil || now.Sub(last.at) > silentAfter {
-		last = &report{counts: map[string]Count{}, whole: up <= youngTime}
-		p.heard[who] = last
-		p.young = p.young && last.whole
-		if !last.whole {
+	key := reporter{from, group}
+	last := p.reports[key]
+	if last == nil || now.Sub(last.received) > reporterTTL {
+		last = &report{counts: map[string]Count{}, fromStart: up <= newUptime}
+		p.reports[key] = last
+		p.allNew = p.allNew && last.fromStart
+		if !last.fromStart {
 			maps.Copy(last.counts, counts)
 		}
 	}
-	last.at = now
-	for name, c := range counts {
+	last.received = now
+	for name, count := range counts {
 		before, known := last.counts[name]
-		last.counts[name] = c
+		last.counts[name] = count
 		switch {
-		case !known && !last.whole:
-			// It is named again since it has sent something after a pause: one request, as far as is known.
-			before = Count{Requested: c.Requested - 1, Admitted: max(c.Admitted-1, 0)}
-		case c.Requested < before.Requested:
+		case !known && !last.fromStart:
+			// The organisation was left out while idle and is named again: at least one request is new.
+			before = Count{Requested: count.Requested - 1, Admitted: max(count.Admitted-1, 0)}
+		case count.Requested < before.Requested:
 			before = Count{}
 		}
-		p.count(name, group, Count{Requested: c.Requested - before.Requested, Admitted: c.Admitted - before.Admitted}, now)
+		p.addCount(name, group, Count{Requested: count.Requested - before.Requested, Admitted: count.Admitted - before.Admitted}, now)
 	}
 }
 
-func (p *Pool) count(name string, group bool, more Count, now time.Time) {
-	p.bucket(name, now).take(more)
-	if group || more == (Count{}) {
+func (p *Pool) addCount(name string, group bool, added Count, now time.Time) {
+	p.bucket(name, now).add(added)
+	if group || added == (Count{}) {
 		return
 	}
-	sum := p.group[name]
-	sum.Requested += more.Requested
-	sum.Admitted += more.Admitted
-	sum.at = now
-	p.group[name] = sum
+	total := p.totals[name]
+	total.Requested += added.Requested
+	total.Admitted += added.Admitted
+	total.raised = now
+	p.totals[name] = total
 }
 
 // Totals returns the sums of the daemons' own counts, and for how long the pool has been counting.
 func (p *Pool) Totals(now time.Time) (counts map[string]Count, up time.Duration) {
-	counts = make(map[string]Count, len(p.group))
-	for name, c := range p.group {
-		if now.Sub(c.at) < countedFor {
+	counts = make(map[string]Count, len(p.totals))
+	for name, c := range p.totals {
+		if now.Sub(c.raised) < idleTTL {
 			counts[name] = c.Count
 		}
 	}
-	return counts, now.Sub(p.began)
+	return counts, now.Sub(p.started)
 }
 
-// Settled reports whether the pool has heard long enough, as the gap between two words of a daemon goes, to know the demand: each
-// daemon's first word, and the second of those that had been running before.
-func (p *Pool) Settled(gap time.Duration, now time.Time) bool {
-	if !p.young {
-		gap *= 2
+// Settled reports whether the pool has collected reports for long enough to know the demand, given the heartbeat interval: one report of
+// each daemon, and a second one if some daemons were running before the pool started.
+func (p *Pool) Settled(interval time.Duration, now time.Time) bool {
+	if !p.allNew {
+		interval *= 2
 	}
-	return !p.began.IsZero() && now.Sub(p.began) >= gap
+	return !p.started.IsZero() && now.Sub(p.started) >= interval
 }
 
-// Allocations returns the word on the organisations that are named, and on all that are over their rate.
+// Allocations returns the allocations of the named organisations and of all that exceed their rate.
 func (p *Pool) Allocations(named map[string]Count, now time.Time) map[string]Allocation {
-	words := make(map[string]Allocation, len(named))
+	allocations := make(map[string]Allocation, len(named))
 	for name := range named {
 		if p.rates[name].PerSecond > 0 {
-			words[name] = p.word(name, now)
+			allocations[name] = p.allocation(name, now)
 		}
 	}
 	for name, b := range p.buckets {
-		// The bucket as it was last looked at has the higher demand and the lower level.
-		if _, known := words[name]; known || b.demand <= p.room(name, b) {
+		// The bucket isn't updated yet, so its demand can only be too high and its level too low.
+		if _, known := allocations[name]; known || b.demand <= p.admittedRate(name, b) {
 			continue
 		}
-		if w := p.word(name, now); w.AdmitFraction < 1 {
-			words[name] = w
+		if a := p.allocation(name, now); a.AdmitFraction < 1 {
+			allocations[name] = a
 		}
 	}
-	return words
+	return allocations
 }
 
-func (p *Pool) word(name string, now time.Time) Allocation {
+func (p *Pool) allocation(name string, now time.Time) Allocation {
 	b := p.bucket(name, now)
-	return Allocation{AdmitFraction: min(p.room(name, b)/max(b.demand, leastDemand), 1), Demand: b.demand}
+	return Allocation{AdmitFraction: min(p.admittedRate(name, b)/max(b.demand, minDemand), 1), Demand: b.demand}
 }
 
-// room is what the organisation may be let in for now, in requests a second.
-func (p *Pool) room(name string, b *bucket) float64 {
+// admittedRate is the rate at which the organisation's requests may be admitted now, per second.
+func (p *Pool) admittedRate(name string, b *bucket) float64 {
 	rate := p.rates[name].PerSecond
 	if rate <= 0 {
 		return math.Inf(1)
 	}
-	over := debtTime
+	horizon := debtRepayTime
 	if b.level > 0 {
-		over = spendTime
+		horizon = surplusSpendTime
 	}
-	return max(p.part*rate*(1+margin)+marginRequests+b.level/over.Seconds(), 0)
+	return max(p.coverage*rate*(1+marginFraction)+marginRate+b.level/horizon.Seconds(), 0)
 }
 
-// bucket returns the organisation's bucket as it is now.
+// bucket returns the organisation's bucket, updated to now.
 func (p *Pool) bucket(name string, now time.Time) *bucket {
 	b := p.buckets[name]
 	if b == nil {
-		b = &bucket{at: p.began}
+		b = &bucket{updated: p.started}
 		p.buckets[name] = b
 	}
 	r := p.rates[name]
-	passed := now.Sub(b.at).Seconds()
-	b.level = max(min(b.level+passed*r.PerSecond*p.part, r.Burst*p.part), -mostDebt.Seconds()*r.PerSecond)
-	b.demand *= math.Exp(-passed / demandTime.Seconds())
-	b.at = now
+	elapsed := now.Sub(b.updated).Seconds()
+	b.level = max(min(b.level+elapsed*r.PerSecond*p.coverage, r.Burst*p.coverage), -maxDebt.Seconds()*r.PerSecond)
+	b.demand *= math.Exp(-elapsed / demandTimeConstant.Seconds())
+	b.updated = now
 	return b
 }
 
-func (b *bucket) take(more Count) {
-	b.demand += float64(more.Requested) / demandTime.Seconds()
-	b.level -= float64(more.Admitted)
+func (b *bucket) add(added Count) {
+	b.demand += float64(added.Requested) / demandTimeConstant.Seconds()
+	b.level -= float64(added.Admitted)
 }
 
 func (p *Pool) sweep(now time.Time) {
 	p.swept = now
-	maps.DeleteFunc(p.heard, func(_ teller, r *report) bool { return now.Sub(r.at) > silentAfter })
+	maps.DeleteFunc(p.reports, func(_ reporter, r *report) bool { return now.Sub(r.received) > reporterTTL })
 	maps.DeleteFunc(p.buckets, func(name string, _ *bucket) bool {
 		b := p.bucket(name, now)
-		return b.demand < negligible && b.level >= p.rates[name].Burst*p.part
+		return b.demand < negligibleDemand && b.level >= p.rates[name].Burst*p.coverage
 	})
 }
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -7,68 +7,67 @@
 	"time"
 )
 
-// Quota decides on one daemon which requests are within their organisation's rate.
+// Quota decides on one daemon which requests are within the rate limit of their organisation.
 //
-// It is for an organisation that sends several times its rate over many daemons, while the others stay within theirs. No daemon
-// sees more than a part of it, and none may wait for another's word before each request. Each tells a collector a few times a
-// second what it was asked for and let in, and lets in the part of the requests that the collector's bucket has room for. A
-// daemon that hears nothing goes by the share that it had when it last heard.
+// It handles an organisation that sends several times its rate over many daemons, while others stay within theirs. No daemon sees all
+// requests, and none may wait for a reply before each request. Each daemon reports to a collector a few times per second how
+// many requests it received and admitted, and admits the fraction that the collector's bucket allows. Without a current allocation, a
+// daemon uses its last share of the organisation's demand.
 type Quota struct {
-	mu      sync.Mutex
-	rand    func() float64
-	rates   map[string]Rate
-	daemons int
-	meters  map[string]*meter
-	words   map[string]Allocation
-	heard   time.Time
+	mu          sync.Mutex
+	rand        func() float64
+	rates       map[string]Rate
+	daemons     int
+	meters      map[string]*meter
+	allocations map[string]Allocation
+	applied     time.Time
 }
 
-// meter is what one daemon knows of one organisation.
+// meter is a daemon's state of one organisation.
 type meter struct {
 	count Count
-	// told is how many requests were asked for as of the last word to the others, and usual how many come between two.
-	told  int64
-	usual float64
-	// demand is what this daemon is asked for, smoothed, in requests a second.
-	demand float64
-	at     time.Time
-	// credit is what the open part has added up to; a request is let in for each whole one.
+	// reported is the number of requests as of the last report, and baseline the smoothed number per report interval.
+	reported int64
+	baseline float64
+	// demand is the smoothed rate of requests at this daemon, per second.
+	demand  float64
+	updated time.Time
+	// credit is the sum of the admitted fractions; each whole unit admits a request.
 	credit float64
-	// share is this daemon's part of the fleet's demand, and tokens what it may let in by it while it hears nothing.
-	share  float64
-	tokens float64
-	// spendAt is the part of a token from which on one is spent.
-	spendAt float64
-	filled  time.Time
+	// demandShare is this daemon's share of the fleet's demand, and tokens the requests it may admit by that share in fallback mode.
+	demandShare float64
+	tokens      float64
+	// spendThreshold is the fraction of a token from which on one may be spent.
+	spendThreshold float64
+	refilled       time.Time
 }
 
 const (
-	// ownTime smooths a daemon's own demand, of which it sees a request now and then.
-	ownTime = time.Second
-	// staleAfter is how long a word counts; several times the gap between two.
-	staleAfter = 2 * time.Second
-	// countedFor is how long an organisation is named to the collector after its last request.
-	countedFor = 3 * time.Second
-	// ownPart is how much of a rate a daemon that hears nothing takes by its share of the demand; the rest is dealt out equally, for
-	// callers who come from a daemon that is gone.
-	ownPart = 0.9
-	// aheadRequests and aheadTimes are what must come between two words, in requests and as a multiple of what was usual, for a
-	// daemon not to wait for its next one.
-	aheadRequests = 4
-	aheadTimes    = 3
-	// usualWeight is the weight of the time since the last word in what is usual.
-	usualWeight = 0.3
-	// longestWait bounds the time after which a refused client is told to come back.
-	longestWait = 10 * time.Second
+	// localDemandTimeConstant smooths a daemon's own demand, which may be less than a request per second.
+	localDemandTimeConstant = time.Second
+	// allocationTTL is how long allocations are valid: several heartbeat intervals.
+	allocationTTL = 2 * time.Second
+	// idleTTL is how long an organisation is reported after its last request.
+	idleTTL = 3 * time.Second
+	// demandShareWeight is the fraction of a rate that is divided by shares of the demand in fallback mode. The rest is divided equally, for
+	// clients that move here from an unreachable daemon.
+	demandShareWeight = 0.9
+	// More than surgeRequests plus surgeFactor times the baseline since the last report is a surge, which is reported early.
+	surgeRequests = 4
+	surgeFactor   = 3
+	// baselineWeight is the weight of the latest report interval in the baseline.
+	baselineWeight = 0.3
+	// maxRetryAfter bounds the Retry-After delay of refused requests.
+	maxRetryAfter = 10 * time.Second
 )
 
 // Option sets one property of a quota.
 type Option func(*Quota)
 
-// WithRand sets the source of chance, numbers from 0 to 1.
+// WithRand sets the random source, which returns numbers from 0 to 1.
 func WithRand(f func() float64) Option { return func(q *Quota) { q.rand = f } }
 
-// New returns a quota that knows no rates yet and lets everyone in.
+// New returns a quota without rate limits, which admits all requests.
 func New(opts ...Option) *Quota {
 	q := &Quota{rand: rand.Float64, daemons: 1, rates: map[string]Rate{}, meters: map[string]*meter{}}
 	for _, opt := range opts {
@@ -77,7 +76,7 @@
 	return q
 }
 
-// Configure puts rates in force.
+// Configure sets the rate limits.
 func (q *Quota) Configure(rates map[string]Rate) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -89,60 +88,60 @@
 	}
 }
 
-// SetDaemons tells how many daemons there are.
+// SetDaemons sets the number of daemons in the fleet.
 func (q *Quota) SetDaemons(daemons int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.daemons = max(daemons, 1)
 }
 
-// Apply takes in the collector's words.
-func (q *Quota) Apply(words map[string]Allocation, now time.Time) {
+// Apply applies the collector's allocations.
+func (q *Quota) Apply(allocations map[string]Allocation, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.words, q.heard = words, now
+	q.allocations, q.applied = allocations, now
 	for name, m := range q.meters {
-		if w, named := words[name]; named {
-			own := m.own(now)
-			m.share = own / max(w.Demand, own, leastDemand)
+		if a, named := allocations[name]; named {
+			local := m.localDemand(now)
+			m.demandShare = local / max(a.Demand, local, minDemand)
 		}
-		m.tokens, m.filled = 0, now
+		m.tokens, m.refilled = 0, now
 	}
 }
 
-// Report returns the counts of the organisations that have sent something lately, for the collector.
+// Report returns the counts of recently active organisations for the next heartbeat.
 func (q *Quota) Report(now time.Time) map[string]Count {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	all := make(map[string]Count, len(q.meters))
+	counts := make(map[string]Count, len(q.meters))
 	for name, m := range q.meters {
-		if now.Sub(m.at) < countedFor {
-			all[name] = m.count
+		if now.Sub(m.updated) < idleTTL {
+			counts[name] = m.count
 		}
-		m.usual += (float64(m.count.Requested-m.told) - m.usual) * usualWeight
-		m.told = m.count.Requested
+		m.baseline += (float64(m.count.Requested-m.reported) - m.baseline) * baselineWeight
+		m.reported = m.count.Requested
 	}
-	return all
+	return counts
 }
 
-// Decision is whether a request is within its organisation's rate, and the inputs that decided it.
+// Decision is a rate-limit decision with its inputs.
 type Decision struct {
 	Admitted bool
-	// Counted means that the request was counted as let in, so that Refund takes it back.
+	// Counted means that the request was counted as admitted, so that Refund undoes the count.
 	Counted bool
-	// Surge means that far more has come since the last word than was usual: the others should hear of it now.
+	// Surge means far more requests since the last report than usual: a heartbeat should be sent early.
 	Surge bool
-	// RetryAfter is when the rate has room again.
+	// RetryAfter is when the rate is expected to allow another request.
 	RetryAfter time.Duration
-	// AdmitFraction is the part that is let in, and Demand what the fleet was asked for, in requests a second.
+	// AdmitFraction is the fraction that is admitted, and Demand the fleet's demand (this daemon's in fallback mode), in requests per second.
 	AdmitFraction float64
 	Demand        float64
 	Rate          float64
-	// Age is how old the collector's word is; negative means that there is none.
+	// Age is the age of the allocation, negative without a current one.
 	Age time.Duration
 }
 
-// Admit counts a request of the organisation and decides on it.
+// Admit counts a request of the organisation and decides whether it is admitted.
 func (q *Quota) Admit(name string, now time.Time) Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -151,23 +150,23 @@
 		return Decision{Admitted: true, AdmitFraction: 1, Age: -1}
 	}
 	m := q.meter(name, now)
-	v := Decision{Rate: r.PerSecond, Age: q.age(now), Surge: m.ahead()}
-	m.ask(now)
-	if v.Age < 0 {
-		q.alone(m, r, now, &v)
+	d := Decision{Rate: r.PerSecond, Age: q.allocationAge(now), Surge: m.surging()}
+	m.countRequest(now)
+	if d.Age < 0 {
+		q.admitByShare(m, r, now, &d)
 	} else {
-		q.told(m, name, now, &v)
+		q.admitByAllocation(m, name, now, &d)
 	}
-	if v.Admitted {
+	if d.Admitted {
 		m.count.Admitted++
-		v.Counted = true
+		d.Counted = true
 	}
-	return v
+	return d
 }
 
-// Refund takes back what a request was counted for that did not run after all.
-func (q *Quota) Refund(name string, v Decision) {
-	if !v.Counted {
+// Refund undoes the count of an admitted request that did not run.
+func (q *Quota) Refund(name string, d Decision) {
+	if !d.Counted {
 		return
 	}
 	q.mu.Lock()
@@ -177,87 +176,87 @@
 	}
 }
 
-// told decides by the collector's word; an organisation that it doesn't name is within its rate.
-func (q *Quota) told(m *meter, name string, now time.Time, v *Decision) {
-	w, named := q.words[name]
+// admitByAllocation decides by the collector's allocation; an organisation without one is within its rate.
+func (q *Quota) admitByAllocation(m *meter, name string, now time.Time, d *Decision) {
+	a, named := q.allocations[name]
 	if !named {
-		w.AdmitFraction = 1
+		a.AdmitFraction = 1
 	}
-	v.AdmitFraction, v.Demand = w.AdmitFraction, w.Demand
-	if w.AdmitFraction >= 1 {
-		v.Admitted = true
+	d.AdmitFraction, d.Demand = a.AdmitFraction, a.Demand
+	if a.AdmitFraction >= 1 {
+		d.Admitted = true
 		return
 	}
-	m.credit += w.AdmitFraction
+	m.credit += a.AdmitFraction
 	if m.credit >= 1 {
 		m.credit--
-		v.Admitted = true
+		d.Admitted = true
 		return
 	}
-	v.RetryAfter = wait(1-m.credit, w.AdmitFraction*m.own(now))
+	d.RetryAfter = refillTime(1-m.credit, a.AdmitFraction*m.localDemand(now))
 }
 
-// alone decides where nothing is heard. Each daemon spends a token from another part of it on: most daemons of a large fleet never have a
-// whole one, and together they are to let in what the rate gives, neither none of it nor one request each.
-func (q *Quota) alone(m *meter, r Rate, now time.Time, v *Decision) {
+// admitByShare decides in fallback mode. The threshold for spending a token differs between daemons: most daemons of a large fleet never
+// have a whole token, and together they should admit the rate, rather than nothing or one request each.
+func (q *Quota) admitByShare(m *meter, r Rate, now time.Time, d *Decision) {
 	share := 1 / float64(q.daemons)
-	if !q.heard.IsZero() {
-		share = ownPart*m.share + (1-ownPart)*share
+	if !q.applied.IsZero() {
+		share = demandShareWeight*m.demandShare + (1-demandShareWeight)*share
 	}
-	m.tokens = min(m.tokens+now.Sub(m.filled).Seconds()*r.PerSecond*share, max(r.Burst*share, m.tokens, 1))
-	m.filled = now
-	v.AdmitFraction, v.Demand = share, m.own(now)
-	if m.tokens >= m.spendAt {
+	m.tokens = min(m.tokens+now.Sub(m.refilled).Seconds()*r.PerSecond*share, max(r.Burst*share, m.tokens, 1))
+	m.refilled = now
+	d.AdmitFraction, d.Demand = share, m.localDemand(now)
+	if m.tokens >= m.spendThreshold {
 		m.tokens--
-		v.Admitted = true
+		d.Admitted = true
 		return
 	}
-	v.RetryAfter = wait(m.spendAt-m.tokens, r.PerSecond*share)
+	d.RetryAfter = refillTime(m.spendThreshold-m.tokens, r.PerSecond*share)
 }
 
-// wait is how long so many tokens take at so many a second.
-func wait(tokens, perSecond float64) time.Duration {
-	seconds := tokens / max(perSecond, leastDemand)
-	return time.Duration(min(max(seconds, 0), longestWait.Seconds()) * float64(time.Second))
+// refillTime is how long the tokens take at a rate per second.
+func refillTime(tokens, perSecond float64) time.Duration {
+	seconds := tokens / max(perSecond, minDemand)
+	return time.Duration(min(max(seconds, 0), maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// age is how old the collector's word is, or negative if there is none that counts.
-func (q *Quota) age(now time.Time) time.Duration {
-	if q.heard.IsZero() || now.Sub(q.heard) > staleAfter {
+// allocationAge is the age of the allocations, or negative without valid ones.
+func (q *Quota) allocationAge(now time.Time) time.Duration {
+	if q.applied.IsZero() || now.Sub(q.applied) > allocationTTL {
 		return -1
 	}
-	return now.Sub(q.heard)
+	return now.Sub(q.applied)
 }
 
 func (q *Quota) meter(name string, now time.Time) *meter {
 	m := q.meters[name]
 	if m == nil {
-		// By chance, so that the first requests on many daemons together are the part that is open.
-		m = &meter{at: now, credit: q.rand(), spendAt: q.rand(), filled: now}
-		if q.heard.IsZero() {
-			// The others hear of a daemon that has just started within a gap between two words.
-			m.tokens = firstTokens
+		// Random starting points make the first requests on many daemons add up to the admitted fraction.
+		m = &meter{updated: now, credit: q.rand(), spendThreshold: q.rand(), refilled: now}
+		if q.applied.IsZero() {
+			// A daemon without allocations has just started, and receives its first ones within a heartbeat interval.
+			m.tokens = initialTokens
 		}
 		q.meters[name] = m
 	}
 	return m
 }
 
-// firstTokens is what a daemon that has never heard a word lets in of each organisation at once.
-const firstTokens = 1
+// initialTokens is the number of requests of each organisation that a daemon admits at once before its first allocations.
+const initialTokens = 1
 
-// own returns the daemon's own demand as it has faded since the last request.
-func (m *meter) own(now time.Time) float64 {
-	return m.demand * math.Exp(-now.Sub(m.at).Seconds()/ownTime.Seconds())
+// localDemand returns the daemon's own demand, decayed since the last request.
+func (m *meter) localDemand(now time.Time) float64 {
+	return m.demand * math.Exp(-now.Sub(m.updated).Seconds()/localDemandTimeConstant.Seconds())
 }
 
-func (m *meter) ask(now time.Time) {
+func (m *meter) countRequest(now time.Time) {
 	m.count.Requested++
-	m.demand = m.own(now) + 1/ownTime.Seconds()
-	m.at = now
+	m.demand = m.localDemand(now) + 1/localDemandTimeConstant.Seconds()
+	m.updated = now
 }
 
-// ahead reports whether one more request makes it far more than is usual between two words.
-func (m *meter) ahead() bool {
-	return float64(m.count.Requested-m.told) >= aheadRequests+aheadTimes*m.usual
+// surging reports whether far more requests than usual have arrived since the last report.
+func (m *meter) surging() bool {
+	return float64(m.count.Requested-m.reported) >= surgeRequests+surgeFactor*m.baseline
 }
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -9,198 +9,199 @@
 )
 
 func TestRateHoldsOverAllDaemons(t *testing.T) {
-	// Guards against an organisation at many times its rate that takes the places of others, since each daemon sees little of it.
-	Convey("An organisation that sends many times its rate gets no more than the fleet's bound", t, func() {
+	// Guards against an organisation at many times its rate that displaces others, since each daemon sees only a few of its requests.
+	Convey("An organisation that sends many times its rate stays within the fleet's bound", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(8*time.Second, 1)
 			f.play(12*time.Second, 9)
-			So(f.asked, ShouldBeGreaterThan, allowed(f.rate))
-			So(f.most(), ShouldBeLessThanOrEqualTo, allowed(f.rate))
+			So(f.requested, ShouldBeGreaterThan, maxAdmitted(f.rate))
+			So(f.peakWindow(), ShouldBeLessThanOrEqualTo, maxAdmitted(f.rate))
 		})
 	})
-	// Guards against a rate that is lost by caution: what is over the rate is refused, the rate itself is not.
-	Convey("It gets its rate all the same", t, func() {
+	// Guards against refusing more than the excess.
+	Convey("It still gets its rate", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(8*time.Second, 1)
-			f.in = nil
+			f.admitted = nil
 			f.play(20*time.Second, 9)
-			So(float64(len(f.in)), ShouldBeGreaterThan, 0.9*20*f.rate.PerSecond)
+			So(float64(len(f.admitted)), ShouldBeGreaterThan, 0.9*20*f.rate.PerSecond)
 		})
 	})
-	// Guards against each move of a crowd of clients being taken for a new surge or a fresh burst.
-	Convey("Nor does it while its clients move", t, func() {
+	// Guards against a new burst allowance each time many clients move to other daemons.
+	Convey("The bound holds while clients move", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(8*time.Second, 1)
 			for range 8 {
 				f.move(0.5, len(f.daemons))
 				f.play(1500*time.Millisecond, 7.5)
 			}
-			So(f.most(), ShouldBeLessThanOrEqualTo, allowed(f.rate))
+			So(f.peakWindow(), ShouldBeLessThanOrEqualTo, maxAdmitted(f.rate))
 		})
 	})
-	// Guards against tokens that come back with each start: many daemons are killed while the organisation presses.
-	Convey("Nor while half of the daemons are killed and start again", t, func() {
+	// Guards against new tokens with each start when many daemons are killed under overload.
+	Convey("The bound holds while half of the daemons are killed and restarted", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(8*time.Second, 7.5)
 			f.kill(0.5)
 			f.play(1500*time.Millisecond, 7.5)
 			for _, d := range f.daemons {
 				if d.dead {
-					f.boot(d)
+					f.restart(d)
 				}
 			}
 			f.play(6*time.Second, 7.5)
-			So(f.most(), ShouldBeLessThanOrEqualTo, allowed(f.rate))
+			So(f.peakWindow(), ShouldBeLessThanOrEqualTo, maxAdmitted(f.rate))
 		})
 	})
-	// Guards against a fleet that begins with tokens on each daemon: all are killed in the middle of a window and start again.
-	Convey("Nor while all daemons are killed and start again", t, func() {
+	// Guards against initial tokens on each daemon when all are killed and restarted in the middle of a window.
+	Convey("The bound holds while all daemons are killed and restarted", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(8*time.Second, 7.5)
-			f.collect()
+			f.replaceCollector()
 			f.move(1, len(f.daemons))
 			for _, d := range f.daemons {
-				f.boot(d)
+				f.restart(d)
 			}
 			f.play(6*time.Second, 7.5)
-			So(f.most(), ShouldBeLessThanOrEqualTo, allowed(f.rate))
+			So(f.peakWindow(), ShouldBeLessThanOrEqualTo, maxAdmitted(f.rate))
 		})
 	})
-	// Guards against tokens by the rate on each daemon that starts: 95 of them let in 190 requests beyond a rate of 70 in half a second.
-	Convey("Daemons that have not heard a word yet let in one request each, and their part of the rate", t, func() {
+	// Guards against initial tokens in proportion to the rate: 95 starting daemons admitted 190 requests beyond a rate of 70 in half a second.
+	Convey("Daemons without allocations since their start admit one request each plus their share of the rate", t, func() {
 		f := newFleet(95, 600, Rate{PerSecond: 70, Burst: 70}, 1)
-		const unheard = 600 * time.Millisecond
-		in := 0
-		for end := f.now.Add(unheard); f.now.Before(end); f.now = f.now.Add(step) {
+		const startupTime = 600 * time.Millisecond
+		admitted := 0
+		for end := f.now.Add(startupTime); f.now.Before(end); f.now = f.now.Add(step) {
 			for range 4 {
 				if f.daemons[f.rng.IntN(len(f.daemons))].Admit("o", f.now).Admitted {
-					in++
+					admitted++
 				}
 			}
 		}
-		So(in, ShouldBeLessThanOrEqualTo, int(95+1.25*70*unheard.Seconds()))
+		So(admitted, ShouldBeLessThanOrEqualTo, int(95+1.25*70*startupTime.Seconds()))
 	})
-	// Guards against a collector that knows nothing of what was let in before it.
-	Convey("Nor while one collector takes over from another", t, func() {
+	// Guards against a new collector that doesn't know what was admitted before it started.
+	Convey("The bound holds while a new collector takes over", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(8*time.Second, 7.5)
-			f.collect()
+			f.replaceCollector()
 			f.play(8*time.Second, 7.5)
-			So(f.most(), ShouldBeLessThanOrEqualTo, allowed(f.rate))
+			So(f.peakWindow(), ShouldBeLessThanOrEqualTo, maxAdmitted(f.rate))
 		})
 	})
-	// Guards against daemons that hear nothing and each take a share of their own, while the others go on.
-	Convey("Nor while a third of the daemons is cut off", t, func() {
+	// Guards against partitioned daemons that admit by their shares in fallback mode while the others use the full rate.
+	Convey("The bound holds while a third of the daemons is partitioned", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(8*time.Second, 7.5)
 			for n, d := range f.daemons {
-				d.cut = n%3 == 1
+				d.partitioned = n%3 == 1
 			}
 			f.play(8*time.Second, 7.5)
-			So(f.most(), ShouldBeLessThanOrEqualTo, allowed(f.rate))
+			So(f.peakWindow(), ShouldBeLessThanOrEqualTo, maxAdmitted(f.rate))
 		})
 	})
 }
 
-// fewRefused is the part that may be refused within the rate, or one request where that is more: the demand is known with the error of a
-// small count.
-const fewRefused = 0.01
+// maxRefusedFraction is the fraction of requests within the rate that may be refused, or one request if that is more: the measured
+// demand has the statistical error of a small count.
+const maxRefusedFraction = 0.01
 
-func (f *fleet) mayRefuse(part float64) int { return max(int(part*float64(f.asked)), 1) }
+// maxRefused is the number of refusals that a fraction of the requests allows, at least one.
+func (f *fleet) maxRefused(fraction float64) int { return max(int(fraction*float64(f.requested)), 1) }
 
 func TestWithinTheRateNobodyIsRefused(t *testing.T) {
-	// Guards against a refusal that tells callers they are over a rate that they keep.
-	Convey("Requests within the rate are let in, in small bursts too", t, func() {
+	// Guards against refusing callers that stay within their rate.
+	Convey("Requests within the rate are admitted, also in small bursts", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(2*time.Second, 0)
 			for range 6 {
 				f.play(time.Second, 1.4)
 				f.play(4*time.Second, 1)
 			}
-			So(f.refused, ShouldBeLessThanOrEqualTo, f.mayRefuse(fewRefused))
+			So(f.refused, ShouldBeLessThanOrEqualTo, f.maxRefused(maxRefusedFraction))
 		})
 	})
-	// Guards against refusing a part of a short burst that the organisation has saved up for.
-	Convey("A burst of three times the usual is let in while there are tokens for it", t, func() {
+	// Guards against refusing part of a short burst for which tokens were saved.
+	Convey("A burst of three times the usual rate is admitted while there are tokens for it", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(3*time.Second, 1)
-			f.asked, f.refused = 0, 0
-			// 1.9 times the rate for 0.7 s takes 0.6 of the burst beyond what the rate gives.
+			f.requested, f.refused = 0, 0
+			// 1.9 times the rate for 0.7 s takes 0.6 of the burst allowance beyond the refill.
 			f.play(700*time.Millisecond, 3)
-			So(f.refused, ShouldBeLessThanOrEqualTo, f.mayRefuse(fewRefused))
+			So(f.refused, ShouldBeLessThanOrEqualTo, f.maxRefused(maxRefusedFraction))
 		})
 	})
-	// Guards against callers who are refused inside their rate where they have moved to.
-	Convey("Requests of clients that move are let in, to any daemon or all to one", t, func() {
+	// Guards against refusing clients within their rate after they move to other daemons.
+	Convey("Requests of clients that move are admitted, whether to all daemons, a fifth of them or a single one", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(time.Second, 0)
 			f.play(4*time.Second, 1)
-			for _, among := range []int{len(f.daemons), max(len(f.daemons)/5, 1), 1} {
-				f.move(0.5, among)
+			for _, targets := range []int{len(f.daemons), max(len(f.daemons)/5, 1), 1} {
+				f.move(0.5, targets)
 				f.play(3*time.Second, 1)
 			}
-			So(f.refused, ShouldBeLessThanOrEqualTo, f.mayRefuse(fewRefused))
+			So(f.refused, ShouldBeLessThanOrEqualTo, f.maxRefused(maxRefusedFraction))
 		})
 	})
-	// Guards against a new collector that takes the first daemons it hears for all.
-	Convey("Requests are let in while one collector takes over from another", t, func() {
+	// Guards against a new collector that takes the first daemons that report for the whole fleet.
+	Convey("Requests are admitted while a new collector takes over", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(time.Second, 0)
 			f.play(4*time.Second, 1)
-			f.collect()
+			f.replaceCollector()
 			f.play(4*time.Second, 1)
-			So(f.refused, ShouldBeLessThanOrEqualTo, f.mayRefuse(fewRefused))
+			So(f.refused, ShouldBeLessThanOrEqualTo, f.maxRefused(maxRefusedFraction))
 		})
 	})
-	// Guards against the demand of daemons that are gone being counted beside that of the same callers elsewhere.
-	Convey("Requests are let in when some daemons are gone and their callers go elsewhere", t, func() {
+	// Guards against counting the demand of stopped daemons in addition to that of the same clients at their new daemons.
+	Convey("Requests are admitted when some daemons stop and their clients move to others", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(time.Second, 0)
 			f.play(4*time.Second, 1)
 			f.kill(0.15)
 			f.play(4*time.Second, 1)
-			So(f.refused, ShouldBeLessThanOrEqualTo, f.mayRefuse(fewRefused))
+			So(f.refused, ShouldBeLessThanOrEqualTo, f.maxRefused(maxRefusedFraction))
 		})
 	})
-	// Guards against a daemon that hears nothing for a while and refuses all that its callers send.
-	Convey("A daemon that is cut off goes by its last share", t, func() {
+	// Guards against a daemon that refuses all requests when it receives no allocations for a while.
+	Convey("A partitioned daemon uses its last share of the demand", t, func() {
 		f := newFleet(95, 7, Rate{PerSecond: 40, Burst: 40}, 3)
 		f.play(4*time.Second, 1)
 		for _, d := range f.daemons {
-			d.cut = true
+			d.partitioned = true
 		}
 		f.play(2*time.Second, 1)
-		f.asked, f.refused = 0, 0
+		f.requested, f.refused = 0, 0
 		f.play(6*time.Second, 1)
-		So(f.refused, ShouldBeLessThanOrEqualTo, f.mayRefuse(0.2))
+		So(f.refused, ShouldBeLessThanOrEqualTo, f.maxRefused(0.2))
 	})
-	// Guards against callers who are refused for some hundred milliseconds after all daemons have started again.
-	Convey("Few are refused while all daemons start again at once", t, func() {
+	// Guards against refusals for several hundred milliseconds after all daemons restart.
+	Convey("Few requests are refused while all daemons restart at once", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(time.Second, 0)
 			f.play(4*time.Second, 1)
-			f.collect()
+			f.replaceCollector()
 			for _, d := range f.daemons {
-				f.boot(d)
+				f.restart(d)
 			}
 			f.play(4*time.Second, 1)
-			So(f.refused, ShouldBeLessThanOrEqualTo, f.mayRefuse(5*fewRefused))
+			So(f.refused, ShouldBeLessThanOrEqualTo, f.maxRefused(5*maxRefusedFraction))
 		})
 	})
-	Convey("A daemon that has just started lets its first request in", t, func() {
+	Convey("A daemon that has just started admits its first request", t, func() {
 		f := newFleet(95, 7, Rate{PerSecond: 8, Burst: 8}, 3)
 		So(f.daemons[0].Admit("o", f.now).Admitted, ShouldBeTrue)
 	})
 }
 
-func TestWhatIsGivenBack(t *testing.T) {
-	// Guards against a rate that is used up by requests that a full service has refused.
-	Convey("A request that did not run costs the organisation nothing", t, func() {
+func TestRefund(t *testing.T) {
+	// Guards against requests refused by a full service using up the rate.
+	Convey("A request that did not run isn't counted as admitted", t, func() {
 		f := newFleet(1, 1, Rate{PerSecond: 10, Burst: 10}, 1)
 		d := f.daemons[0]
-		v := d.Admit("o", f.now)
-		So(v.Counted, ShouldBeTrue)
-		d.Refund("o", v)
+		decision := d.Admit("o", f.now)
+		So(decision.Counted, ShouldBeTrue)
+		d.Refund("o", decision)
 		d.Refund("o", Decision{})
 		So(d.Report(f.now), ShouldResemble, map[string]Count{"o": {Requested: 1}})
 	})
@@ -215,28 +216,28 @@
 		first  Count
 		up     time.Duration
 		second Count
-		// want is how many requests the pool takes the second word for, beyond the first.
-		first0, want float64
+		// wantFirst and want are the requests counted for the first report and, in addition, for the second.
+		wantFirst, want float64
 	}{
-		{"a daemon that has been running is counted from its first word on", Count{500, 500}, time.Minute, Count{503, 503}, 0, 3},
-		{"one that has just started is counted whole", Count{5, 5}, time.Second, Count{7, 7}, 5, 2},
-		{"one that has started again begins anew", Count{500, 500}, time.Minute, Count{2, 2}, 0, 2},
-		{"a word that comes twice counts once", Count{5, 5}, time.Second, Count{5, 5}, 5, 0},
+		{"a running daemon is counted from its first report on", Count{500, 500}, time.Minute, Count{503, 503}, 0, 3},
+		{"a daemon that has just started is counted in full", Count{5, 5}, time.Second, Count{7, 7}, 5, 2},
+		{"a restarted daemon is counted from zero", Count{500, 500}, time.Minute, Count{2, 2}, 0, 2},
+		{"a repeated report counts once", Count{5, 5}, time.Second, Count{5, 5}, 5, 0},
 	}
 	for _, c := range cases {
-		Convey("Counts are read right: "+c.name, t, func() {
+		Convey("Counts are evaluated correctly: "+c.name, t, func() {
 			p := NewPool()
 			p.Configure(map[string]Rate{"o": {PerSecond: 1000, Burst: 10}})
 			p.Update(a, false, map[string]Count{"o": c.first}, c.up, now)
-			So(demand(p, now)*demandTime.Seconds(), ShouldAlmostEqual, c.first0)
+			So(demand(p, now)*demandTimeConstant.Seconds(), ShouldAlmostEqual, c.wantFirst)
 			p.Update(a, false, map[string]Count{"o": c.second}, c.up, now)
-			So(demand(p, now)*demandTime.Seconds(), ShouldAlmostEqual, c.first0+c.want)
+			So(demand(p, now)*demandTimeConstant.Seconds(), ShouldAlmostEqual, c.wantFirst+c.want)
 		})
 	}
 }
 
-// TestOrganisationsNamedLater guards against an organisation that is shut out everywhere: a collector that began after the daemons took all that
-// one of them had ever let in for what came just now, when it named the organisation again after a pause.
+// TestOrganisationsNamedLater guards against an organisation blocked on all daemons: a collector that started after the daemons counted
+// all requests that a daemon had ever admitted as new when it named the organisation again after a pause.
 func TestOrganisationsNamedLater(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := netip.MustParseAddrPort("10.0.0.1:1")
@@ -246,12 +247,12 @@
 		p.Update(a, false, nil, up, now)
 		p.Update(a, false, map[string]Count{"o": {500, 500}}, up, now)
 		p.Update(a, false, map[string]Count{"o": {503, 503}}, up, now)
-		return p.Allocations(map[string]Count{"o": {}}, now)["o"].Demand * demandTime.Seconds()
+		return p.Allocations(map[string]Count{"o": {}}, now)["o"].Demand * demandTimeConstant.Seconds()
 	}
-	Convey("One request counts at the first word on it, and what comes after", t, func() {
+	Convey("The first report of an organisation counts as one request, and later ones count their increase", t, func() {
 		So(play(time.Minute), ShouldAlmostEqual, 1+3)
 	})
-	Convey("All of it counts where the daemon has been heard since its start", t, func() {
+	Convey("All requests count if the daemon has reported since its start", t, func() {
 		So(play(time.Second), ShouldAlmostEqual, 503)
 	})
 }
--- a/internal/decide/quota/rate.go
+++ b/internal/decide/quota/rate.go
@@ -1,24 +1,24 @@
 package quota
 
-// Rate is what an organisation may send over the whole fleet; a rate of 0 has no limit.
+// Rate is an organisation's rate limit over the whole fleet; zero means no limit.
 type Rate struct {
-	// PerSecond is in requests a second, and Burst in requests.
+	// PerSecond is in requests per second, and Burst in requests.
 	PerSecond float64
 	Burst     float64
 }
 
-// Count is how many requests of an organisation a daemon was asked for and let in since its start.
+// Count is the number of an organisation's requests that a daemon received and admitted since its start.
 //
-// Counts that only grow can be lost on the way or arrive twice without harm; the next one makes up for it.
+// The counts only grow, so a lost or repeated report does no harm: the next one makes up for it.
 type Count struct {
 	Requested int64 `msgpack:"asked"`
 	Admitted  int64 `msgpack:"admitted"`
 }
 
-// Allocation is the collector's word on one organisation.
+// Allocation is the collector's decision for one organisation.
 type Allocation struct {
-	// AdmitFraction is the part of the organisation's requests that every daemon lets in, 1 for all.
+	// AdmitFraction is the fraction of the organisation's requests that every daemon admits.
 	AdmitFraction float64 `msgpack:"open"`
-	// Demand is what the fleet is asked for, in requests a second.
+	// Demand is the fleet's demand in requests per second.
 	Demand float64 `msgpack:"demand"`
 }
