--- a/internal/decide/shed/doc.go
+++ b/internal/decide/shed/doc.go
@@ -1,3 +1,3 @@
-// Package shed turns callers' requests away at the front while a service that
-// they need is full, the less important ones first.
+// Package shed rejects callers' requests at the ingress while a service that they need is saturated, lower-priority
+// classes first.
 package shed
--- a/internal/decide/shed/lane.go
+++ b/internal/decide/shed/lane.go
@@ -2,31 +2,31 @@
 
 import "cmp"
 
-// Rank orders requests, 0 first: by their organisation, and within one by their route.
+// Rank is the configured precedence of requests, by their organisation and then by their route; 0 has the highest priority.
 type Rank struct {
 	Organisation int `msgpack:"organisation"`
 	Route        int `msgpack:"route"`
 }
 
-// Compare orders ranks, the one that goes first before the others.
+// Compare orders ranks by priority, the highest first.
 func (r Rank) Compare(other Rank) int {
 	return cmp.Or(cmp.Compare(r.Organisation, other.Organisation), cmp.Compare(r.Route, other.Route))
 }
 
-// Class is the requests of a route to one of its services with one rank.
+// Class is a traffic class: the requests of one route to one of its services at one rank.
 type Class struct {
 	Route   string `msgpack:"route"`
 	Service string `msgpack:"service"`
 	Rank    Rank   `msgpack:"rank"`
 }
 
-// Rate is how many requests a second a daemon is asked for in a lane.
+// Rate is the rate at which a class's requests arrive at a daemon.
 type Rate struct {
 	Class     Class   `msgpack:"lane"`
 	PerSecond float64 `msgpack:"perSecond"`
 }
 
-// Allocation is the part of a lane's requests that is begun.
+// Allocation is the fraction of a class that is admitted, as the planner decided it.
 type Allocation struct {
 	Class         Class   `msgpack:"lane"`
 	AdmitFraction float64 `msgpack:"open"`
--- a/internal/decide/shed/shed.go
+++ b/internal/decide/shed/shed.go
@@ -9,221 +9,221 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/mechanism"
 )
 
-// Shedder decides on one daemon which callers' requests are begun.
+// Shedder decides on one daemon which requests of callers are admitted.
 //
-// It is for a service deep in the call graph that gets more than it can do, below requests that each call it
-// ten times. Were the excess refused there, a tenth too much would end two of three requests
-// after most of their work, and their callers come again: the fleet then works for nobody, also when the
-// burst is over. So the part of each lane that the fleet can do is worked out in one place, from what all daemons are asked for, and
-// each daemon begins that part. A daemon that hears nothing goes by how full the services were that its answers met.
+// It protects an overloaded service deep in the call graph, below requests that each call it ten times. If that service refused
+// the excess itself, a tenth too much load would fail two of three requests after most of their work, and client retries would follow:
+// the fleet would complete almost nothing, even after the burst. The admitted fraction of each class is therefore computed in one place
+// from the demand at all daemons, and each daemon applies it. Without a current plan, a daemon uses the saturation that responses report.
 type Shedder struct {
-	mu    sync.Mutex
-	rand  func() float64
-	lanes map[Class]*valve
-	heard time.Time
-	asked time.Time
-	// untimely tells callers to come back without regard to their target.
-	untimely bool
+	mu       sync.Mutex
+	rand     func() float64
+	classes  map[Class]*classState
+	applied  time.Time
+	reported time.Time
+	// ignoreTarget makes Retry-After independent of the route's latency target.
+	ignoreTarget bool
 }
 
-// valve is what is let in of one lane.
-type valve struct {
-	// open is the part that is let in.
-	open float64
-	// full is the smoothed fullness that answers brought back.
-	full float64
-	at   time.Time
-	// asked counts requests since the last word to others, and rate is what they come to, smoothed.
-	asked int
-	rate  float64
+// classState is a daemon's admission state of one class.
+type classState struct {
+	// admitFraction is the fraction that is admitted now.
+	admitFraction float64
+	// saturation is the smoothed saturation reported by responses.
+	saturation float64
+	updated    time.Time
+	// arrivals counts requests since the last report, and rate is their smoothed number per second.
+	arrivals int
+	rate     float64
 }
 
 const (
-	// gain is the power of the ratio between target and fullness by which the open part is changed in a second, where only answers
-	// tell: they are late in overload, and all of the difference at once would be done twice, and swing.
-	gain = 1.1
-	// leastFull and mostFull bound the fullness that counts: an empty service must not be flooded, and a queue
-	// grows without bound while the service does no more than all it can.
-	leastFull = 0.45
-	mostFull  = 3.0
-	// smoothing is the weight of one answer, and mostGap the longest time that one answer speaks for.
-	smoothing = 0.2
-	mostGap   = 500 * time.Millisecond
-	// heardTime is how long the word of other daemons goes before what answers bring back: some gaps between two of them.
-	heardTime = 1500 * time.Millisecond
-	// refusedFull is the fullness that a refused call stands for.
-	refusedFull = 2.0
-	// leastOpen is let in at any rate: it finds out that there is room again, and no lane starves.
-	leastOpen = 0.01
-	// reopening is how much more is let in for each second without an answer.
-	reopening = 0.3
-	// firstBack and backSpread are the parts of a route's target after which callers are told to come back, at the earliest and
-	// beyond that: the answer is still good then, and half of the target is left for the request itself.
-	firstBack  = 0.15
-	backSpread = 0.35
-	// leastBack and mostBack bound it, and usualTarget stands for a target that is not known.
-	leastBack   = 50 * time.Millisecond
-	mostBack    = 2 * time.Second
-	usualTarget = 2 * time.Second
-	// rateWeight is the weight of what was asked since the last word in what others are told: two words smooth out the chance of some
-	// hundred milliseconds, and tell of a surge at once.
-	rateWeight = 0.6
-	// negligible is a rate that is not worth telling.
-	negligible = 0.05
+	// gainExponent is the exponent, per second, of target/saturation in the feedback from responses. Responses are late in overload:
+	// correcting the whole difference at once would correct it twice and oscillate.
+	gainExponent = 1.1
+	// minSaturation and maxSaturation clamp the saturation: an idle service must not be flooded, and the queue of a saturated
+	// one grows without bound.
+	minSaturation = 0.45
+	maxSaturation = 3.0
+	// saturationWeight is the weight of one response, and maxElapsed bounds the time for which one response moves the fraction.
+	saturationWeight = 0.2
+	maxElapsed       = 500 * time.Millisecond
+	// planTTL is how long a plan takes precedence over feedback from responses: several heartbeat intervals.
+	planTTL = 1500 * time.Millisecond
+	// refusedSaturation is the least saturation assumed after a refused sub-call.
+	refusedSaturation = 2.0
+	// minAdmitFraction is always admitted: it detects free capacity, and no class starves.
+	minAdmitFraction = 0.01
+	// reopenPerSecond is how fast the admitted fraction grows, per second without a response.
+	reopenPerSecond = 0.3
+	// Retry-After is between retryAfterFraction of a route's latency target and retryAfterSpread beyond it: a response is still useful then,
+	// and half of the target remains for the request itself.
+	retryAfterFraction = 0.15
+	retryAfterSpread   = 0.35
+	// minRetryAfter and maxRetryAfter clamp it, and defaultTarget replaces an unknown target.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
+	defaultTarget = 2 * time.Second
+	// arrivalRateWeight is the weight of the latest interval in the reported rate: two intervals smooth out the randomness of several
+	// hundred milliseconds and still show a surge at once.
+	arrivalRateWeight = 0.6
+	// negligibleRate is a rate in requests per second that isn't worth reporting.
+	negligibleRate = 0.05
 )
 
-// Where only answers tell, the fullest service on the way may be as full as firstTarget for the requests that go first, and less by
-// a step for each rank behind. At 1 all slots are taken, and above it requests wait: 0.3 are 15 ms a call. The steps are wide
-// enough for the lower ranks to give way first.
+// topRankSaturation is the target for the most saturated service on the call path of rank 0 in fallback mode; each rank of lower priority
+// lowers it by a step. At 1 all slots are in use, and above it requests queue: 0.3 adds 15 ms per call. The steps are wide enough for
+// the lower ranks to be shed first.
 const (
-	firstTarget      = 1.3
-	organisationStep = 0.12
-	routeStep        = 0.04
-	// lastRank stands for all behind it.
-	lastRank = 2
+	topRankSaturation    = 1.3
+	organisationRankStep = 0.12
+	routeRankStep        = 0.04
+	// maxRank is the rank that all lower-priority ranks count as.
+	maxRank = 2
 )
 
-func (r Rank) target() float64 {
-	return firstTarget - organisationStep*float64(min(r.Organisation, lastRank)) - routeStep*float64(min(r.Route, lastRank))
+func (r Rank) targetSaturation() float64 {
+	return topRankSaturation - organisationRankStep*float64(min(r.Organisation, maxRank)) - routeRankStep*float64(min(r.Route, maxRank))
 }
 
 // Option sets one property of a shedder.
 type Option func(*Shedder)
 
-// WithRand sets the source of chance, numbers from 0 to 1.
+// WithRand sets the random source, which returns numbers from 0 to 1.
 func WithRand(f func() float64) Option { return func(s *Shedder) { s.rand = f } }
 
-// Without switches mechanisms off.
+// Without disables mechanisms.
 func Without(set mechanism.Set) Option {
-	return func(s *Shedder) { s.untimely = set.Has(mechanism.TargetedRetryAfter) }
+	return func(s *Shedder) { s.ignoreTarget = set.Has(mechanism.TargetedRetryAfter) }
 }
 
-// New returns a shedder that lets everything in.
+// New returns a shedder that admits all requests.
 func New(opts ...Option) *Shedder {
-	s := &Shedder{rand: rand.Float64, lanes: map[Class]*valve{}}
+	s := &Shedder{rand: rand.Float64, classes: map[Class]*classState{}}
 	for _, opt := range opts {
 		opt(s)
 	}
 	return s
 }
 
-// Decision is whether a request is begun, with what decided it.
+// Decision is an admission decision with its inputs.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is when to come back.
+	// RetryAfter is the delay after which the caller should retry.
 	RetryAfter time.Duration
-	// RejectFraction is the part that is turned away.
+	// RejectFraction is the fraction of the class that is rejected.
 	RejectFraction float64
-	// Age is how old the fleet's word is that decided it; what only answers tell has a longer one.
+	// Age is the age of the plan; beyond planTTL, the decision is based on responses.
 	Age time.Duration
 }
 
-// Admit counts a request of the lane and decides on it; target is the time within which its answer is as good as it can be, 0 if
-// that is not known.
-func (s *Shedder) Admit(l Class, target time.Duration, now time.Time) Decision {
+// Admit counts a request of the class and decides whether it is admitted; target is the latency target of its route, 0 if unknown.
+func (s *Shedder) Admit(class Class, target time.Duration, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.of(l, now)
-	v.asked++
-	if s.alone(now) {
-		v.reopen(now)
+	c := s.state(class, now)
+	c.arrivals++
+	if s.planExpired(now) {
+		c.reopen(now)
 	}
-	share := 1 - v.open
-	out := Decision{Admitted: s.rand() >= share, RejectFraction: share, Age: now.Sub(s.heard)}
-	if !out.Admitted {
-		out.RetryAfter = s.back(target)
+	rejectFraction := 1 - c.admitFraction
+	decision := Decision{Admitted: s.rand() >= rejectFraction, RejectFraction: rejectFraction, Age: now.Sub(s.applied)}
+	if !decision.Admitted {
+		decision.RetryAfter = s.retryAfter(target)
 	}
-	return out
+	return decision
 }
 
-// back is when a caller may come back, spread so that those refused together don't return together.
-func (s *Shedder) back(target time.Duration) time.Duration {
-	if target <= 0 || s.untimely {
-		target = usualTarget
+// retryAfter returns the Retry-After delay, spread so that requests rejected together aren't retried together.
+func (s *Shedder) retryAfter(target time.Duration) time.Duration {
+	if target <= 0 || s.ignoreTarget {
+		target = defaultTarget
 	}
-	part := firstBack + backSpread*s.rand()
-	return min(max(time.Duration(float64(target)*part), leastBack), mostBack)
+	fraction := retryAfterFraction + retryAfterSpread*s.rand()
+	return min(max(time.Duration(float64(target)*fraction), minRetryAfter), maxRetryAfter)
 }
 
-// Demand returns what the daemon is asked for in each lane, for the others; it is called at each word to them.
+// Demand returns the arrival rate of each class for the next heartbeat, and must be called once per heartbeat.
 func (s *Shedder) Demand(now time.Time) []Rate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	gap := now.Sub(s.asked).Seconds()
-	s.asked = now
-	all := make([]Rate, 0, len(s.lanes))
-	for l, v := range s.lanes {
-		fresh := float64(v.asked) / max(gap, mostGap.Seconds()/10)
-		v.rate += (fresh - v.rate) * rateWeight
-		v.asked = 0
-		if v.rate > negligible {
-			all = append(all, Rate{Class: l, PerSecond: v.rate})
+	elapsed := now.Sub(s.reported).Seconds()
+	s.reported = now
+	rates := make([]Rate, 0, len(s.classes))
+	for class, c := range s.classes {
+		latest := float64(c.arrivals) / max(elapsed, maxElapsed.Seconds()/10)
+		c.rate += (latest - c.rate) * arrivalRateWeight
+		c.arrivals = 0
+		if c.rate > negligibleRate {
+			rates = append(rates, Rate{Class: class, PerSecond: c.rate})
 		}
 	}
-	return all
+	return rates
 }
 
-// Apply takes in the part of each lane that the fleet can do; lanes that aren't named are not cut.
-func (s *Shedder) Apply(parts []Allocation, now time.Time) {
+// Apply applies the collector's allocations; classes without one are admitted in full.
+func (s *Shedder) Apply(allocations []Allocation, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard = now
-	for _, v := range s.lanes {
-		v.open, v.at = 1, now
+	s.applied = now
+	for _, c := range s.classes {
+		c.admitFraction, c.updated = 1, now
 	}
-	for _, p := range parts {
-		s.of(p.Class, now).set(p.AdmitFraction)
+	for _, a := range allocations {
+		s.state(a.Class, now).setAdmitFraction(a.AdmitFraction)
 	}
 }
 
-// Observe takes in what the answer to a request of the lane brought back: how full the fullest service on
-// its way was, and whether a call of the request was refused.
-func (s *Shedder) Observe(l Class, full float64, refused bool, now time.Time) {
+// Observe records the response to a request of the class: the saturation of the most saturated service on its call path, and whether
+// one of its sub-calls was refused.
+func (s *Shedder) Observe(class Class, saturation float64, refused bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if refused {
-		full = max(full, refusedFull)
+		saturation = max(saturation, refusedSaturation)
 	}
-	v := s.of(l, now)
-	if s.alone(now) {
-		v.full += (full - v.full) * smoothing
-		v.move(l.Rank.target(), now)
+	c := s.state(class, now)
+	if s.planExpired(now) {
+		c.saturation += (saturation - c.saturation) * saturationWeight
+		c.adjust(class.Rank.targetSaturation(), now)
 	}
 }
 
-// alone reports whether nothing current is heard of the fleet.
-func (s *Shedder) alone(now time.Time) bool { return now.Sub(s.heard) > heardTime }
+// planExpired reports whether there is no current plan.
+func (s *Shedder) planExpired(now time.Time) bool { return now.Sub(s.applied) > planTTL }
 
-func (s *Shedder) of(l Class, now time.Time) *valve {
-	v := s.lanes[l]
-	if v == nil {
-		if len(s.lanes) > mostLanes {
-			clear(s.lanes)
+func (s *Shedder) state(class Class, now time.Time) *classState {
+	c := s.classes[class]
+	if c == nil {
+		if len(s.classes) > maxClasses {
+			clear(s.classes)
 		}
-		v = &valve{open: 1, at: now}
-		s.lanes[l] = v
+		c = &classState{admitFraction: 1, updated: now}
+		s.classes[class] = c
 	}
-	return v
+	return c
 }
 
-// mostLanes bounds what is kept over many changes of the configuration.
-const mostLanes = 4096
+// maxClasses bounds the memory used over many configuration changes.
+const maxClasses = 4096
 
-// move changes the open part by how far the fullness is from the target.
-func (v *valve) move(target float64, now time.Time) {
-	gap := min(now.Sub(v.at), mostGap)
-	v.at = now
-	ratio := target / min(max(v.full, leastFull), mostFull)
-	v.set(v.open * math.Pow(ratio, gain*gap.Seconds()))
+// adjust moves the admitted fraction by the ratio of target to observed saturation.
+func (c *classState) adjust(target float64, now time.Time) {
+	elapsed := min(now.Sub(c.updated), maxElapsed)
+	c.updated = now
+	ratio := target / min(max(c.saturation, minSaturation), maxSaturation)
+	c.setAdmitFraction(c.admitFraction * math.Pow(ratio, gainExponent*elapsed.Seconds()))
 }
 
-// reopen lets in more while no answer comes: all that was let in may have been lost.
-func (v *valve) reopen(now time.Time) {
-	if gap := now.Sub(v.at); gap > mostGap {
-		v.set(v.open + reopening*(gap-mostGap).Seconds())
-		v.full *= 1 - min(gap.Seconds(), 1)
-		v.at = now.Add(-mostGap)
+// reopen raises the admitted fraction while no response arrives, since all admitted requests may have been lost.
+func (c *classState) reopen(now time.Time) {
+	if elapsed := now.Sub(c.updated); elapsed > maxElapsed {
+		c.setAdmitFraction(c.admitFraction + reopenPerSecond*(elapsed-maxElapsed).Seconds())
+		c.saturation *= 1 - min(elapsed.Seconds(), 1)
+		c.updated = now.Add(-maxElapsed)
 	}
 }
 
-func (v *valve) set(open float64) { v.open = min(max(open, leastOpen), 1) }
+func (c *classState) setAdmitFraction(fraction float64) {
+	c.admitFraction = min(max(fraction, minAdmitFraction), 1)
+}
--- a/internal/decide/shed/shed_test.go
+++ b/internal/decide/shed/shed_test.go
@@ -8,139 +8,139 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// root is a route whose requests call the deep service.
-type root struct {
-	name string
-	rank Rank
-	perS float64
-	// calls is how many slot-seconds of the deep service one request takes, in one go.
-	cost float64
+// route is a route whose requests call the overloaded service.
+type route struct {
+	name      string
+	rank      Rank
+	perSecond float64
+	// slotSeconds is the slot time of that service that one request takes, without pauses.
+	slotSeconds float64
 }
 
-// pending is a request's word on its way back.
-type pending struct {
-	at   int
-	root int
-	d    *Shedder
-	lost bool
+// pendingResponse is a response on its way back; due is the tick of its arrival.
+type pendingResponse struct {
+	due     int
+	route   int
+	shedder *Shedder
+	refused bool
 }
 
 const (
 	tick = 10 * time.Millisecond
-	// lag is the time between a request's admission and its answer, in ticks.
-	lag = 25
-	// room is how long the deep service lets work wait, in seconds.
-	room = 0.25
+	// responseTicks is the time between a request's admission and its response, in ticks.
+	responseTicks = 25
+	// maxWait is the queueing time in seconds from which on the service refuses requests.
+	maxWait = 0.25
 )
 
-// play runs roots over some daemons against a deep service with so many slots, a fluid queue; it returns the share
-// of each root's requests that were done in the last third of the time.
-func play(daemons int, slots float64, roots []root, seconds int, rng *rand.Rand) []float64 {
+// play simulates routes over several daemons that call a service with a number of slots, modelled as a fluid queue. It returns
+// the fraction of each route's requests that complete, measured in the last third of the time.
+func play(daemons int, slots float64, routes []route, seconds int, rng *rand.Rand) []float64 {
 	fleet := make([]*Shedder, daemons)
 	for i := range fleet {
 		fleet[i] = New(WithRand(rng.Float64))
 	}
-	asked, done := make([]float64, len(roots)), make([]float64, len(roots))
-	var words []pending
+	offered, completed := make([]float64, len(routes)), make([]float64, len(routes))
+	var responses []pendingResponse
 	queue := 0.0
 	now := time.Unix(1000, 0)
-	steps := seconds * int(time.Second/tick)
-	for step := range steps {
+	ticks := seconds * int(time.Second/tick)
+	for step := range ticks {
 		now = now.Add(tick)
-		work := 0.0
-		for n, r := range roots {
-			for due := r.perS * tick.Seconds(); due > 0; due-- {
-				if due < 1 && rng.Float64() >= due {
+		arriving := 0.0
+		for n, r := range routes {
+			for left := r.perSecond * tick.Seconds(); left > 0; left-- {
+				if left < 1 && rng.Float64() >= left {
 					continue
 				}
-				late := step > steps*2/3
-				if late {
-					asked[n]++
+				measured := step > ticks*2/3
+				if measured {
+					offered[n]++
 				}
-				d := fleet[rng.IntN(daemons)]
-				if !d.Admit(Class{Route: r.name, Rank: r.rank}, 0, now).Admitted {
+				s := fleet[rng.IntN(daemons)]
+				if !s.Admit(Class{Route: r.name, Rank: r.rank}, 0, now).Admitted {
 					continue
 				}
-				lost := r.cost > 0 && queue/slots > room
-				if !lost {
-					work += r.cost
-					if late {
-						done[n]++
+				refused := r.slotSeconds > 0 && queue/slots > maxWait
+				if !refused {
+					arriving += r.slotSeconds
+					if measured {
+						completed[n]++
 					}
 				}
-				words = append(words, pending{at: step + lag, root: n, d: d, lost: lost})
+				responses = append(responses, pendingResponse{due: step + responseTicks, route: n, shedder: s, refused: refused})
 			}
 		}
-		done := slots * tick.Seconds()
-		queue = max(queue+work-done, 0)
-		full := min((queue+work)/done, 1) + queue/slots/0.02
-		for len(words) > 0 && words[0].at <= step {
-			w := words[0]
-			words = words[1:]
-			met := full
-			if roots[w.root].cost == 0 {
-				met = 0.1
+		capacity := slots * tick.Seconds()
+		queue = max(queue+arriving-capacity, 0)
+		saturation := min((queue+arriving)/capacity, 1) + queue/slots/0.02
+		for len(responses) > 0 && responses[0].due <= step {
+			response := responses[0]
+			responses = responses[1:]
+			observed := saturation
+			if routes[response.route].slotSeconds == 0 {
+				observed = 0.1
 			}
-			w.d.Observe(Class{Route: roots[w.root].name, Rank: roots[w.root].rank}, met, w.lost, now)
+			response.shedder.Observe(Class{Route: routes[response.route].name, Rank: routes[response.route].rank}, observed, response.refused, now)
 		}
 	}
-	shares := make([]float64, len(roots))
-	for n := range roots {
-		shares[n] = done[n] / max(asked[n], 1)
+	fractions := make([]float64, len(routes))
+	for n := range routes {
+		fractions[n] = completed[n] / max(offered[n], 1)
 	}
-	return shares
+	return fractions
 }
 
-func TestFullServiceDeepDown(t *testing.T) {
-	// Lookups and payments both end at a small service deep down, which gets twice what it can do. Without a word at
-	// the front, most of both fail after nearly all of their work, and callers come again with more.
-	Convey("Daemons that hear nothing of each other serve the more important requests, and what doesn't need the service is untouched", t, func() {
+func TestOverloadDeepInCallGraph(t *testing.T) {
+	// Guards against wasted work: lookups and payments both call a small service that receives twice its capacity. Without
+	// shedding at the ingress, most of both fail after nearly all of their work, and client retries add more load.
+	Convey("Daemons without a plan serve higher-priority requests, and classes that don't use the service are unaffected", t, func() {
 		for _, daemons := range []int{4, 16, 72} {
-			shares := play(daemons, 60, []root{
+			fractions := play(daemons, 60, []route{
 				{"lookup", Rank{2, 2}, 500, 0.15},
 				{"payment", Rank{0, 0}, 200, 0.075},
 				{"upload", Rank{2, 2}, 100, 0},
 			}, 30, rand.New(rand.NewPCG(1, uint64(daemons))))
-			So(shares[1], ShouldBeGreaterThan, 0.9)
-			// 60 slots less 15 for the payments do 300 lookups a second of 500.
-			So(shares[0], ShouldBeBetween, 0.4, 0.65)
-			So(shares[2], ShouldBeGreaterThan, 0.99)
+			So(fractions[1], ShouldBeGreaterThan, 0.9)
+			// Payments take 15 of the 60 slots; the other 45 serve 300 of the 500 lookups per second.
+			So(fractions[0], ShouldBeBetween, 0.4, 0.65)
+			So(fractions[2], ShouldBeGreaterThan, 0.99)
 		}
 	})
-	Convey("A service with room turns nobody away", t, func() {
-		shares := play(16, 60, []root{{"lookup", Rank{2, 2}, 250, 0.15}}, 20, rand.New(rand.NewPCG(2, 2)))
-		So(shares[0], ShouldBeGreaterThan, 0.98)
+	Convey("Almost nothing is rejected while the service has free capacity", t, func() {
+		fractions := play(16, 60, []route{{"lookup", Rank{2, 2}, 250, 0.15}}, 20, rand.New(rand.NewPCG(2, 2)))
+		So(fractions[0], ShouldBeGreaterThan, 0.98)
 	})
 }
 
-func TestPartsOfTheFleet(t *testing.T) {
-	lane, other := Class{Route: "lookup"}, Class{Route: "upload"}
+func TestAllocations(t *testing.T) {
+	class, other := Class{Route: "lookup"}, Class{Route: "upload"}
 	now := time.Unix(1000, 0)
-	Convey("What the fleet can do holds until it is told anew, and lanes that aren't named are not cut", t, func() {
+	Convey("Allocations apply until the next plan, and classes without one are admitted in full", t, func() {
 		draw := 0.0
 		s := New(WithRand(func() float64 { return draw }))
-		s.Apply([]Allocation{{Class: lane, AdmitFraction: 0.25}}, now)
+		s.Apply([]Allocation{{Class: class, AdmitFraction: 0.25}}, now)
 		for _, c := range []struct {
 			draw     float64
 			admitted bool
 		}{{0.7, false}, {0.8, true}} {
 			draw = c.draw
-			So(s.Admit(lane, 0, now).Admitted, ShouldEqual, c.admitted)
+			So(s.Admit(class, 0, now).Admitted, ShouldEqual, c.admitted)
 			So(s.Admit(other, 0, now).Admitted, ShouldBeTrue)
 		}
-		s.Observe(lane, 8, true, now.Add(time.Second))
-		So(s.Admit(lane, 0, now.Add(time.Second)).RejectFraction, ShouldEqual, 0.75)
+		s.Observe(class, 8, true, now.Add(time.Second))
+		So(s.Admit(class, 0, now.Add(time.Second)).RejectFraction, ShouldEqual, 0.75)
 		s.Apply(nil, now.Add(time.Second))
-		So(s.Admit(lane, 0, now.Add(time.Second)).RejectFraction, ShouldEqual, 0)
+		So(s.Admit(class, 0, now.Add(time.Second)).RejectFraction, ShouldEqual, 0)
 	})
-	Convey("What was asked is told as a rate, which fades when nothing more is asked", t, func() {
+	Convey("Arrivals are reported as a rate, which decays without further requests", t, func() {
 		s := New()
 		s.Demand(now)
 		for range 30 {
-			s.Admit(lane, 0, now)
+			s.Admit(class, 0, now)
 		}
 		now := now.Add(300 * time.Millisecond)
-		So(s.Demand(now), ShouldResemble, []Rate{{Class: lane, PerSecond: 60}})
+		So(s.Demand(now), ShouldResemble, []Rate{{Class: class, PerSecond: 60}})
 		for range 10 {
 			now = now.Add(300 * time.Millisecond)
 			s.Demand(now)
@@ -149,27 +149,27 @@
 	})
 }
 
-func TestRoomAgain(t *testing.T) {
-	// A burst is over, but the front goes on turning callers away: the share that it holds is from the burst.
-	lane := Class{Route: "r", Rank: Rank{2, 2}}
-	Convey("Answers that speak of room open the front within seconds, and silence does too", t, func() {
-		for _, answers := range []bool{true, false} {
+func TestRecoveryAfterOverload(t *testing.T) {
+	// Guards against an ingress daemon that keeps rejecting requests after a burst, with the fraction it had during the burst.
+	class := Class{Route: "r", Rank: Rank{2, 2}}
+	Convey("Everything is admitted again within seconds, both with responses of low saturation and without responses", t, func() {
+		for _, responds := range []bool{true, false} {
 			s := New(WithRand(func() float64 { return 0 }))
 			now := time.Unix(1000, 0)
 			for range 300 {
 				now = now.Add(tick)
-				s.Observe(lane, 3, true, now)
+				s.Observe(class, 3, true, now)
 			}
-			So(s.Admit(lane, 0, now).Admitted, ShouldBeFalse)
+			So(s.Admit(class, 0, now).Admitted, ShouldBeFalse)
 			for range 600 {
 				now = now.Add(tick)
-				if answers {
-					s.Observe(lane, 0.5, false, now)
+				if responds {
+					s.Observe(class, 0.5, false, now)
 				} else {
-					s.Admit(lane, 0, now)
+					s.Admit(class, 0, now)
 				}
 			}
-			So(s.Admit(lane, 0, now).RejectFraction, ShouldEqual, 0)
+			So(s.Admit(class, 0, now).RejectFraction, ShouldEqual, 0)
 		}
 	})
 }
