--- a/internal/decide/choice/choice_test.go
+++ b/internal/decide/choice/choice_test.go
@@ -15,42 +15,42 @@
 var start = time.Unix(1000, 0)
 
 func instances(count int, zones ...string) []routing.Instance {
-	all := make([]routing.Instance, count)
-	for i := range all {
-		all[i] = routing.Instance{ID: fmt.Sprintf("i%d", i), Zone: zones[i%len(zones)], Slots: 10}
+	list := make([]routing.Instance, count)
+	for i := range list {
+		list[i] = routing.Instance{ID: fmt.Sprintf("i%d", i), Zone: zones[i%len(zones)], Slots: 10}
 	}
-	return all
+	return list
 }
 
-func chooser() *Balancer {
+func newBalancer() *Balancer {
 	rng := rand.New(rand.NewPCG(1, 2))
 	return New("z0", WithRand(rng.Float64))
 }
 
-// shares picks so often and returns the part of each instance; each request ends at once as how tells.
-func shares(c *Balancer, from []routing.Instance, begin time.Time, times int, how func(i routing.Instance) (Result, time.Duration)) map[string]float64 {
-	got := map[string]float64{}
+// pickedFractions picks a number of times and returns the fraction of each instance; respond decides how each request ends.
+func pickedFractions(b *Balancer, from []routing.Instance, begin time.Time, times int, respond func(i routing.Instance) (Result, time.Duration)) map[string]float64 {
+	fractions := map[string]float64{}
 	for n := range times {
 		now := begin.Add(time.Duration(n) * 10 * time.Millisecond)
-		i, ok := c.Pick(from, nil, time.Second, now)
+		i, ok := b.Pick(from, nil, time.Second, now)
 		if !ok {
 			continue
 		}
-		e, took := how(i)
-		c.Record(i, e, took, call.Load{Limit: 10}, now)
-		got[i.ID] += 1 / float64(times)
+		result, took := respond(i)
+		b.Record(i, result, took, call.Load{Limit: 10}, now)
+		fractions[i.ID] += 1 / float64(times)
 	}
-	return got
+	return fractions
 }
 
 func served(routing.Instance) (Result, time.Duration) { return Served, 50 * time.Millisecond }
 
-func TestInstancesThatAreNotWell(t *testing.T) {
-	// An instance fails part of its requests while its health check is good. Callers see errors at random, and nobody takes
-	// it out.
-	Convey("One that fails half of its requests gets few", t, func() {
+func TestUnhealthyInstances(t *testing.T) {
+	// Guards against random errors for callers when an instance fails part of its requests but passes its health check, so that it
+	// stays in the list.
+	Convey("An instance that fails half of its requests receives few", t, func() {
 		rng := rand.New(rand.NewPCG(3, 4))
-		got := shares(chooser(), instances(3, "z0"), start, 1000, func(i routing.Instance) (Result, time.Duration) {
+		got := pickedFractions(newBalancer(), instances(3, "z0"), start, 1000, func(i routing.Instance) (Result, time.Duration) {
 			if i.ID == "i0" && rng.Float64() < 0.5 {
 				return Failed, time.Millisecond
 			}
@@ -58,9 +58,9 @@
 		})
 		So(got["i0"], ShouldBeBetween, 0.0, 0.12)
 	})
-	// An instance turns slow. Every third request waits for it.
-	Convey("One that takes four times as long gets few", t, func() {
-		got := shares(chooser(), instances(3, "z0"), start, 1000, func(i routing.Instance) (Result, time.Duration) {
+	// Guards against every third request waiting for an instance that has become slow.
+	Convey("An instance that takes four times as long receives few requests", t, func() {
+		got := pickedFractions(newBalancer(), instances(3, "z0"), start, 1000, func(i routing.Instance) (Result, time.Duration) {
 			if i.ID == "i0" {
 				return Served, 200 * time.Millisecond
 			}
@@ -68,70 +68,70 @@
 		})
 		So(got["i0"], ShouldBeLessThan, 0.05)
 	})
-	// An instance crashes, and its entry stays for seconds.
-	Convey("One that can't be reached is tried now and then, and taken back once it answers", t, func() {
-		c := chooser()
+	// Guards against sending requests to a crashed instance that stays in the list for several seconds.
+	Convey("An unreachable instance is tried occasionally, and used again once it responds", t, func() {
+		b := newBalancer()
 		from := instances(3, "z0")
-		dead := shares(c, from, start, 1000, func(i routing.Instance) (Result, time.Duration) {
+		dead := pickedFractions(b, from, start, 1000, func(i routing.Instance) (Result, time.Duration) {
 			if i.ID == "i0" {
 				return Unreachable, time.Millisecond
 			}
 			return served(i)
 		})
 		So(dead["i0"], ShouldBeBetween, 0.0, 0.02)
-		well := shares(c, from, start.Add(time.Minute), 1000, served)
-		So(well["i0"], ShouldBeGreaterThan, 0.1)
+		recovered := pickedFractions(b, from, start.Add(time.Minute), 1000, served)
+		So(recovered["i0"], ShouldBeGreaterThan, 0.1)
 	})
-	Convey("Where nothing else is left, one that is away is tried", t, func() {
-		c := chooser()
+	Convey("An instance in backoff is tried if there is no other", t, func() {
+		b := newBalancer()
 		from := instances(1, "z0")
-		i, _ := c.Pick(from, nil, time.Second, start)
-		c.Record(i, Unreachable, 0, call.Load{}, start)
-		_, ok := c.Pick(from, nil, time.Second, start)
+		i, _ := b.Pick(from, nil, time.Second, start)
+		b.Record(i, Unreachable, 0, call.Load{}, start)
+		_, ok := b.Pick(from, nil, time.Second, start)
 		So(ok, ShouldBeTrue)
 	})
 }
 
-func TestWhereRequestsGo(t *testing.T) {
-	Convey("Draining instances and those that had the request get nothing", t, func() {
+func TestPick(t *testing.T) {
+	Convey("Draining instances and those that were already tried are not picked", t, func() {
 		from := instances(3, "z0")
 		from[0].Draining = true
 		for range 50 {
-			i, ok := chooser().Pick(from, map[string]bool{"i1": true}, time.Second, start)
+			i, ok := newBalancer().Pick(from, map[string]bool{"i1": true}, time.Second, start)
 			So(ok, ShouldBeTrue)
 			So(i.ID, ShouldEqual, "i2")
 		}
-		_, ok := chooser().Pick(from, map[string]bool{"i1": true, "i2": true}, time.Second, start)
+		_, ok := newBalancer().Pick(from, map[string]bool{"i1": true, "i2": true}, time.Second, start)
 		So(ok, ShouldBeFalse)
 	})
-	Convey("Requests stay in the zone while it has room, and leave it when it is full", t, func() {
-		c := chooser()
+	Convey("Requests stay in the availability zone while it has free slots, and leave it when it is saturated", t, func() {
+		b := newBalancer()
 		from := instances(4, "z0", "z1")
-		got := shares(c, from, start, 400, served)
+		got := pickedFractions(b, from, start, 400, served)
 		So(got["i0"]+got["i2"], ShouldBeGreaterThan, 0.9)
-		full := func(i routing.Instance) (Result, time.Duration) { return Served, 50 * time.Millisecond }
-		away := 0.0
+		respond := func(i routing.Instance) (Result, time.Duration) { return Served, 50 * time.Millisecond }
+		remote := 0.0
 		for n := range 400 {
 			now := start.Add(time.Minute + time.Duration(n)*time.Millisecond)
-			i, _ := c.Pick(from, nil, time.Second, now)
-			e, took := full(i)
+			i, _ := b.Pick(from, nil, time.Second, now)
+			result, took := respond(i)
 			load := call.Load{Limit: 10}
 			if i.Zone == "z0" {
 				load = call.Load{InFlight: 10, Queued: 5, Limit: 10}
 			} else {
-				away++
+				remote++
 			}
-			c.Record(i, e, took, load, now)
+			b.Record(i, result, took, load, now)
 		}
-		So(away/400, ShouldBeGreaterThan, 0.8)
+		So(remote/400, ShouldBeGreaterThan, 0.8)
 	})
-	Convey("What was known of a start that is over is forgotten", t, func() {
-		c := chooser()
+	Convey("Records of an ended incarnation are removed", t, func() {
+		b := newBalancer()
 		from := instances(1, "z0")
-		i, _ := c.Pick(from, nil, time.Second, start)
-		c.Record(i, Unreachable, 0, call.Load{}, start)
+		i, _ := b.Pick(from, nil, time.Second, start)
+		b.Record(i, Unreachable, 0, call.Load{}, start)
 		from[0].Born = start
-		c.SetInstances(from, start)
-		So(c.known, ShouldHaveLength, 0)
+		b.SetInstances(from, start)
+		So(b.records, ShouldHaveLength, 0)
 	})
 }
--- a/internal/decide/choice/doc.go
+++ b/internal/decide/choice/doc.go
@@ -1,3 +1,3 @@
-// Package choice picks the instance that a request is sent to, from what the
-// hosts beside instances say of them and from how requests ended there.
+// Package choice picks the instance that a request is sent to, from the loads that the instances' hosts report and from the
+// results of earlier requests.
 package choice
--- a/internal/decide/choice/fade.go
+++ b/internal/decide/choice/fade.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// fade halves with each half that has passed.
-func fade(passed, half time.Duration) float64 {
-	return math.Exp2(-passed.Seconds() / half.Seconds())
+// decay returns the factor of exponential decay over the elapsed time.
+func decay(elapsed, halfLife time.Duration) float64 {
+	return math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
 }
