--- a/internal/decide/offers/course.go
+++ b/internal/decide/offers/course.go
@@ -7,96 +7,98 @@
 )
 
 const (
-	// mostUnseen bounds the offers that no instance has seen: hosts that are full, leaving or stale cost a round trip each.
-	mostUnseen = 3
-	// mostSeen bounds the offers that instances have seen, beside the fleet's bound on repeats.
-	mostSeen = 10
+	// maxUndelivered bounds the attempts that reach no instance: hosts that are full, leaving or no longer listed cost a round trip each.
+	maxUndelivered = 3
+	// maxDelivered bounds the attempts that reach an instance, in addition to the fleet's retry budget.
+	maxDelivered = 10
 )
 
-// Tracker is what has become of one request's offers.
+// Tracker tracks the attempts of one request and decides which instances may receive the next one.
 //
-// It is for services whose instances turn away part of what they get at random, below requests that call them several
-// times: where half is turned away, three tries end one lookup of eight calls in three, and eight tries nearly all.
-// An instance that has declined has run nothing and may be asked again, so the bound on instances is kept.
+// It handles services whose instances decline part of their requests at random, called several times by one request: if half
+// are declined, three attempts per sub-call complete one of three lookups with eight sub-calls, and eight attempts nearly all.
+// An instance that declined has run nothing and may be tried again without exceeding the bound on distinct instances.
 type Tracker struct {
-	// attempts is the most instances that may see the request.
-	attempts int
-	tried    map[string]bool
-	// declined are the instances that have seen the request and turned it away.
+	// maxInstances is the most distinct instances that may receive the request.
+	maxInstances int
+	tried        map[string]bool
+	// declined are the instances that received the request and declined it.
 	declined map[string]bool
-	seen     int
-	distinct int
-	unseen   int
-	once     bool
+	// delivered and undelivered count attempts, and instances the distinct instances that received the request.
+	delivered   int
+	instances   int
+	undelivered int
+	// noReoffer means that declined instances are not tried again (disabled mechanism).
+	noReoffer bool
 }
 
-// Option sets one property of a course.
+// Option sets one property of a tracker.
 type Option func(*Tracker)
 
-// Without switches mechanisms off.
+// Without disables mechanisms.
 func Without(s mechanism.Set) Option {
-	return func(c *Tracker) { c.once = s.Has(mechanism.RetryDeclined) }
+	return func(t *Tracker) { t.noReoffer = s.Has(mechanism.RetryDeclined) }
 }
 
-// New returns the course of a request that may be sent to so many instances.
-func New(attempts int, opts ...Option) *Tracker {
-	c := &Tracker{attempts: max(attempts, 1), tried: map[string]bool{}}
+// New returns the tracker of a request that at most maxInstances instances may receive.
+func New(maxInstances int, opts ...Option) *Tracker {
+	t := &Tracker{maxInstances: max(maxInstances, 1), tried: map[string]bool{}}
 	for _, opt := range opts {
-		opt(c)
+		opt(t)
 	}
-	return c
+	return t
 }
 
-// Delivered reports whether an instance has seen the request, so that the next offer is a repeat.
-func (c *Tracker) Delivered() bool { return c.seen > 0 }
+// Delivered reports whether an instance has received the request, so that the next attempt is a retry.
+func (t *Tracker) Delivered() bool { return t.delivered > 0 }
 
-// CanRetry reports whether the request may be offered once more.
-func (c *Tracker) CanRetry() bool {
-	return c.unseen < mostUnseen && c.seen < mostSeen && (c.distinct < c.attempts || len(c.declined) > 0)
+// CanRetry reports whether another attempt is allowed.
+func (t *Tracker) CanRetry() bool {
+	return t.undelivered < maxUndelivered && t.delivered < maxDelivered && (t.instances < t.maxInstances || len(t.declined) > 0)
 }
 
-// Candidates returns the instances that the next offer may go to, with those that are taken only where there are no others.
-func (c *Tracker) Candidates(all []routing.Instance) (from []routing.Instance, behind map[string]bool) {
-	if c.distinct >= c.attempts {
-		return c.again(all), nil
+// Candidates returns the instances for the next attempt, and those of them that are excluded because they were tried before.
+func (t *Tracker) Candidates(instances []routing.Instance) (from []routing.Instance, excluded map[string]bool) {
+	if t.instances >= t.maxInstances {
+		return t.declinedOf(instances), nil
 	}
-	for i := range all {
-		if !c.tried[all[i].ID] {
-			return all, c.tried
+	for i := range instances {
+		if !t.tried[instances[i].ID] {
+			return instances, t.tried
 		}
 	}
-	return c.again(all), nil
+	return t.declinedOf(instances), nil
 }
 
-// again returns the instances that have declined.
-func (c *Tracker) again(all []routing.Instance) []routing.Instance {
-	from := make([]routing.Instance, 0, len(c.declined))
-	for i := range all {
-		if c.declined[all[i].ID] {
-			from = append(from, all[i])
+// declinedOf returns those of the instances that have declined the request.
+func (t *Tracker) declinedOf(instances []routing.Instance) []routing.Instance {
+	declined := make([]routing.Instance, 0, len(t.declined))
+	for i := range instances {
+		if t.declined[instances[i].ID] {
+			declined = append(declined, instances[i])
 		}
 	}
-	return from
+	return declined
 }
 
-// Record takes in how an offer to the instance ended, and whether the instance has seen the request.
-func (c *Tracker) Record(id string, e choice.Result, seen bool) {
-	first := !c.tried[id]
-	c.tried[id] = true
-	if !seen {
-		c.unseen++
+// Record records the result of an attempt at the instance, and whether the instance received the request.
+func (t *Tracker) Record(id string, result choice.Result, delivered bool) {
+	first := !t.tried[id]
+	t.tried[id] = true
+	if !delivered {
+		t.undelivered++
 		return
 	}
-	c.seen++
+	t.delivered++
 	if first {
-		c.distinct++
+		t.instances++
 	}
-	if e == choice.Declined && !c.once {
-		if c.declined == nil {
-			c.declined = map[string]bool{}
+	if result == choice.Declined && !t.noReoffer {
+		if t.declined == nil {
+			t.declined = map[string]bool{}
 		}
-		c.declined[id] = true
+		t.declined[id] = true
 		return
 	}
-	delete(c.declined, id)
+	delete(t.declined, id)
 }
--- a/internal/decide/offers/doc.go
+++ b/internal/decide/offers/doc.go
@@ -1,2 +1,2 @@
-// Package offers decides which instances one request may still be offered to.
+// Package offers decides which instances the attempts of one request may be sent to.
 package offers
