--- a/internal/decide/comeback/doc.go
+++ b/internal/decide/comeback/doc.go
@@ -1,2 +1,2 @@
-// Package comeback spreads the times at which refused requests are told to come back.
+// Package comeback spreads the Retry-After delays of refused requests.
 package comeback
--- a/internal/decide/comeback/places.go
+++ b/internal/decide/comeback/places.go
@@ -5,54 +5,52 @@
 	"time"
 )
 
-// Schedule tells refused requests when to come back, each at a place of its own.
+// Schedule spreads the Retry-After delays of refused requests: each one gets its own slot in time.
 //
-// It is for overload that outlasts a burst. Refused callers that all hear the
-// same time return together, are refused together, and a surge that had ended
-// starts anew. Each refusal is therefore given the next free place in the time
-// to come, at the pace at which requests are served.
+// It handles overload that outlasts a burst. Clients that are given the same delay retry together, are refused together, and restart a
+// surge that had ended. Each refused request is therefore given the next free slot, at the pace at which requests are served.
 type Schedule struct {
 	next time.Time
 	rand func() float64
 }
 
 const (
-	// Soonest keeps a caller from returning before anything can have changed.
+	// Soonest is the shortest delay, so that a client doesn't retry before anything can have changed.
 	Soonest = 20 * time.Millisecond
-	// Latest bounds the places, since after the trouble a caller still waits that long.
+	// Latest is the longest delay, since a client still waits for it after the overload has ended.
 	Latest = 2 * time.Second
-	// jitterLeast and jitterSpread set the random factor, 0.75 to 1.25.
-	jitterLeast  = 0.75
+	// minJitter and jitterSpread set the range of the random factor, 0.75 to 1.25.
+	minJitter    = 0.75
 	jitterSpread = 0.5
 )
 
-// Option sets one property of places.
+// Option sets one property of a schedule.
 type Option func(*Schedule)
 
-// WithRand sets the source of jitter, numbers from 0 to 1.
-func WithRand(f func() float64) Option { return func(p *Schedule) { p.rand = f } }
+// WithRand sets the random source of the jitter, which returns numbers from 0 to 1.
+func WithRand(f func() float64) Option { return func(s *Schedule) { s.rand = f } }
 
-// New returns places that are all free.
+// New returns a schedule whose slots are all free.
 func New(opts ...Option) *Schedule {
-	p := &Schedule{rand: rand.Float64}
+	s := &Schedule{rand: rand.Float64}
 	for _, opt := range opts {
-		opt(p)
+		opt(s)
 	}
-	return p
+	return s
 }
 
-// Next returns the time until the refused request should find room, given when
-// room comes for the first and the time between two that are served.
-func (p *Schedule) Next(now time.Time, first, interval time.Duration) time.Duration {
-	if free := now.Add(first); p.next.Before(free) {
-		p.next = free
+// Next returns the delay after which the refused request should be admitted, given the time until the first free capacity and the
+// interval between two served requests.
+func (s *Schedule) Next(now time.Time, first, interval time.Duration) time.Duration {
+	if earliest := now.Add(first); s.next.Before(earliest) {
+		s.next = earliest
 	}
-	place := p.next
-	if last := now.Add(Latest); place.After(last) {
-		p.next = last.Add(interval)
-		return time.Duration(float64(Latest) * (1 + p.rand()) / 2)
+	slot := s.next
+	if latest := now.Add(Latest); slot.After(latest) {
+		s.next = latest.Add(interval)
+		return time.Duration(float64(Latest) * (1 + s.rand()) / 2)
 	}
-	p.next = place.Add(interval)
-	wait := time.Duration(float64(place.Sub(now)) * (jitterLeast + jitterSpread*p.rand()))
-	return min(max(wait, Soonest), Latest)
+	s.next = slot.Add(interval)
+	delay := time.Duration(float64(slot.Sub(now)) * (minJitter + jitterSpread*s.rand()))
+	return min(max(delay, Soonest), Latest)
 }
--- a/internal/decide/comeback/places_test.go
+++ b/internal/decide/comeback/places_test.go
@@ -9,46 +9,46 @@
 
 const ms = time.Millisecond
 
-func TestPlaces(t *testing.T) {
+func TestNext(t *testing.T) {
 	cases := []struct {
 		name            string
 		refused         int
 		first, interval time.Duration
-		// want is what the last of them is told, in the middle of the jitter.
+		// want is the delay of the last refused request, with the mean jitter.
 		want time.Duration
 	}{
-		{"the only one comes when there is room", 1, 100 * ms, 50 * ms, 100 * ms},
-		{"the tenth comes after nine others", 10, 100 * ms, 50 * ms, 550 * ms},
-		{"nobody comes at once", 1, 0, ms, 20 * ms},
-		{"nobody waits longer than the places reach", 1000, 100 * ms, 50 * ms, 1500 * ms},
+		{"a single request is delayed until the first free capacity", 1, 100 * ms, 50 * ms, 100 * ms},
+		{"the tenth request is delayed by nine intervals more", 10, 100 * ms, 50 * ms, 550 * ms},
+		{"no delay is shorter than Soonest", 1, 0, ms, 20 * ms},
+		{"a request beyond the last slot is delayed by a random time up to Latest", 1000, 100 * ms, 50 * ms, 1500 * ms},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
-			p := New(WithRand(func() float64 { return 0.5 }))
+			s := New(WithRand(func() float64 { return 0.5 }))
 			now := time.Unix(0, 0)
-			told := time.Duration(0)
+			delay := time.Duration(0)
 			for range c.refused {
-				told = p.Next(now, c.first, c.interval)
+				delay = s.Next(now, c.first, c.interval)
 			}
-			So(told, ShouldEqual, c.want)
+			So(delay, ShouldEqual, c.want)
 		})
 	}
 }
 
-// An organisation sends far more than its rate. Were all its refused callers told the same
-// moment, they would come back together, one would get in, and the rest be refused again.
-func TestPlacesSpread(t *testing.T) {
-	Convey("Refused callers come back one after another, at the pace of what is served", t, func() {
-		p := New()
+// TestDelaysAreSpread guards against synchronised client retries: an organisation sends far more than its rate, all its refused clients
+// retry at the same moment, one is admitted and the rest are refused again.
+func TestDelaysAreSpread(t *testing.T) {
+	Convey("Refused clients retry one after another, at the pace at which requests are served", t, func() {
+		s := New()
 		now := time.Unix(0, 0)
-		perSlice := map[time.Duration]int{}
+		perInterval := map[time.Duration]int{}
 		for range 40 {
-			perSlice[p.Next(now, 0, 50*ms)/(500*ms)]++
+			perInterval[s.Next(now, 0, 50*ms)/(500*ms)]++
 		}
-		for slice, count := range perSlice {
+		for interval, count := range perInterval {
 			So(count, ShouldBeLessThanOrEqualTo, 18)
-			So(slice, ShouldBeLessThanOrEqualTo, 4)
+			So(interval, ShouldBeLessThanOrEqualTo, 4)
 		}
-		So(len(perSlice), ShouldBeGreaterThanOrEqualTo, 4)
+		So(len(perInterval), ShouldBeGreaterThanOrEqualTo, 4)
 	})
 }
