--- a/internal/decide/split/doc.go
+++ b/internal/decide/split/doc.go
@@ -1,2 +1,2 @@
-// Package split shares the requests of a route among services in the proportions of their weights.
+// Package split divides the requests of a route among services in proportion to their weights.
 package split
--- a/internal/decide/split/split.go
+++ b/internal/decide/split/split.go
@@ -8,31 +8,31 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/routing"
 )
 
-// Splitter picks the service of each request of a route that goes to several.
+// Splitter picks the service of each request of a route that is split among several.
 //
-// Operators move a route to another service a tenth at a time and watch that
-// tenth. Each daemon sees only a few requests a second of it, so drawing lots
-// would let the shares of an hour's first minutes be far off; a daemon keeps count
-// instead, and each share is right to within one request. What a part has no room for is
-// refused there: moved to the other part, it would hide from operators that the new service is too small.
+// Operators move a route to another service a tenth at a time and watch that tenth. Each daemon sees only a few of its requests per
+// second, so with random choice the actual shares would be far off for several minutes; a daemon counts instead, and each share is
+// accurate to within one request. Requests that a service has no capacity for are refused: moving them to another service would
+// hide from operators that the new service is too small.
 type Splitter struct {
-	mu     sync.Mutex
-	start  func() float64
-	routes map[string]*shares
+	mu              sync.Mutex
+	initialFraction func() float64
+	routes          map[string]*routeState
 }
 
-// shares counts how far each part of one route is behind its share.
-type shares struct {
-	parts  []routing.Part
-	behind []float64
+// routeState holds how far each part of a route is behind its share, in units of weight.
+type routeState struct {
+	parts    []routing.Part
+	deficits []float64
 }
 
-// New returns a splitter; start returns numbers from 0 to 1, by which daemons begin at different parts.
-func New(start func() float64) *Splitter {
-	return &Splitter{start: start, routes: map[string]*shares{}}
+// New returns a splitter. initialFraction returns numbers from 0 to 1 that set the initial deficits, so that daemons start with
+// different parts.
+func New(initialFraction func() float64) *Splitter {
+	return &Splitter{initialFraction: initialFraction, routes: map[string]*routeState{}}
 }
 
-// NewRandom returns a splitter that begins anywhere.
+// NewRandom returns a splitter with random initial deficits.
 func NewRandom() *Splitter { return New(rand.Float64) }
 
 // Pick returns the service that the route's next request goes to.
@@ -42,32 +42,33 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.routes[r.Name]
-	if known == nil || !slices.Equal(known.parts, r.Parts) {
-		known = s.begin(r)
-		s.routes[r.Name] = known
+	state := s.routes[r.Name]
+	if state == nil || !slices.Equal(state.parts, r.Parts) {
+		state = s.newState(r)
+		s.routes[r.Name] = state
 	}
-	return known.next()
+	return state.next()
 }
 
-func (s *Splitter) begin(r *routing.Route) *shares {
-	n := &shares{parts: r.Parts, behind: make([]float64, len(r.Parts))}
+// newState returns the initial state of a route.
+func (s *Splitter) newState(r *routing.Route) *routeState {
+	state := &routeState{parts: r.Parts, deficits: make([]float64, len(r.Parts))}
 	for i, p := range r.Parts {
-		n.behind[i] = s.start() * float64(p.Weight)
+		state.deficits[i] = s.initialFraction() * float64(p.Weight)
 	}
-	return n
+	return state
 }
 
-// next serves the part that is furthest behind; a part of weight 0 never is.
-func (s *shares) next() string {
+// next returns the service of the part with the largest deficit; a part of weight 0 is never picked.
+func (s *routeState) next() string {
 	best, total := 0, 0.0
 	for i, p := range s.parts {
-		s.behind[i] += float64(p.Weight)
+		s.deficits[i] += float64(p.Weight)
 		total += float64(p.Weight)
-		if p.Weight > 0 && (s.parts[best].Weight == 0 || s.behind[i] > s.behind[best]) {
+		if p.Weight > 0 && (s.parts[best].Weight == 0 || s.deficits[i] > s.deficits[best]) {
 			best = i
 		}
 	}
-	s.behind[best] -= total
+	s.deficits[best] -= total
 	return s.parts[best].Service
 }
--- a/internal/decide/split/split_test.go
+++ b/internal/decide/split/split_test.go
@@ -9,17 +9,17 @@
 )
 
 func TestShares(t *testing.T) {
-	// An operator gives a new version of the service a tenth of the traffic. Were the shares of a small fleet
-	// left to chance, it would see twice as much or none in the first seconds.
-	Convey("Each part gets its share of the requests to within one, from the first requests on", t, func() {
-		for _, c := range []struct {
+	// Guards against random shares: in a small fleet, a new version of a service that is given a tenth of the
+	// traffic would receive twice as much or nothing in the first seconds.
+	Convey("Each part receives its share of the requests to within 1.5 requests, from the first request on", t, func() {
+		for _, tc := range []struct {
 			weights []int
-			start   float64
+			initial float64
 		}{{[]int{90, 10}, 0}, {[]int{90, 10}, 0.99}, {[]int{1, 1, 2}, 0.5}, {[]int{0, 5}, 0.3}, {[]int{7, 0}, 0.3}} {
-			s := New(func() float64 { return c.start })
+			s := New(func() float64 { return tc.initial })
 			r := &routing.Route{Name: "r"}
 			total := 0
-			for i, w := range c.weights {
+			for i, w := range tc.weights {
 				r.Parts = append(r.Parts, routing.Part{Service: string(rune('a' + i)), Weight: w})
 				total += w
 			}
@@ -32,7 +32,7 @@
 			}
 		}
 	})
-	Convey("New weights count from the next request on", t, func() {
+	Convey("New weights apply from the next request on", t, func() {
 		s := New(func() float64 { return 0 })
 		r := &routing.Route{Name: "r", Parts: []routing.Part{{Service: "a", Weight: 1}, {Service: "b", Weight: 0}}}
 		So(s.Pick(r), ShouldEqual, "a")
