--- a/internal/decide/admission/gate_test.go
+++ b/internal/decide/admission/gate_test.go
@@ -172,7 +172,7 @@
 		for _, b := range backs {
 			distinct[b/(10*ms)] = true
 			latestBack = max(latestBack, b)
-			So(b, ShouldBeBetweenOrEqual, comeback.Soonest, comeback.Latest)
+			So(b, ShouldBeBetweenOrEqual, comeback.MinDelay, comeback.MaxDelay)
 		}
 		So(len(distinct), ShouldBeGreaterThan, 20)
 	})
--- a/internal/decide/comeback/places.go
+++ b/internal/decide/comeback/places.go
@@ -15,10 +15,10 @@
 }
 
 const (
-	// Soonest is the shortest delay, so that a client doesn't retry before anything can have changed.
-	Soonest = 20 * time.Millisecond
-	// Latest is the longest delay, since a client still waits for it after the overload has ended.
-	Latest = 2 * time.Second
+	// MinDelay is the shortest delay, so that a client doesn't retry before anything can have changed.
+	MinDelay = 20 * time.Millisecond
+	// MaxDelay is the longest delay, since a client still waits for it after the overload has ended.
+	MaxDelay = 2 * time.Second
 	// minJitter and jitterSpread set the range of the random factor, 0.75 to 1.25.
 	minJitter    = 0.75
 	jitterSpread = 0.5
@@ -46,11 +46,11 @@
 		s.next = earliest
 	}
 	slot := s.next
-	if latest := now.Add(Latest); slot.After(latest) {
-		s.next = latest.Add(interval)
-		return time.Duration(float64(Latest) * (1 + s.rand()) / 2)
+	if last := now.Add(MaxDelay); slot.After(last) {
+		s.next = last.Add(interval)
+		return time.Duration(float64(MaxDelay) * (1 + s.rand()) / 2)
 	}
 	s.next = slot.Add(interval)
 	delay := time.Duration(float64(slot.Sub(now)) * (minJitter + jitterSpread*s.rand()))
-	return min(max(delay, Soonest), Latest)
+	return min(max(delay, MinDelay), MaxDelay)
 }
--- a/internal/fleet/rate/comeback.go
+++ b/internal/fleet/rate/comeback.go
@@ -22,7 +22,7 @@
 	if !ok {
 		return wait
 	}
-	if wait > comeback.Latest {
+	if wait > comeback.MaxDelay {
 		return wait + p.back.Next(now, 0, p.interval())
 	}
 	return p.back.Next(now, wait, p.interval())
