--- a/internal/decide/allot/divide.go
+++ b/internal/decide/allot/divide.go
@@ -22,7 +22,7 @@
 const (
 	// slots are the service's concurrency slots.
 	slots resourceKind = iota // slots
-	// retries are the retries that the fleet may send to the service, per second.
+	// retries counts the retries that the fleet may send to the service, per second.
 	retries // repeats
 )
 
--- a/internal/decide/allot/holds.go
+++ b/internal/decide/allot/holds.go
@@ -20,7 +20,7 @@
 	Slots float64
 }
 
-// holdTimes estimates how long requests hold slots, by route and service, and by host once enough requests were observed on it.
+// holdTimes estimates how long requests hold slots, by route and service, over all instances and on each host.
 //
 // Instances of one service differ in speed by several times. When some of them go, a mean over all is wrong for those that remain, and
 // plans based on it fill slow instances up to several times their slots.
--- a/internal/decide/choice/choice.go
+++ b/internal/decide/choice/choice.go
@@ -22,7 +22,7 @@
 	Failed // failed
 	// Declined means that the instance itself declined to run the request.
 	Declined // turnedAway
-	// Refused means that the host of the instance had no room for the request.
+	// Refused means that the instance's host had no free slot or queue place for the request.
 	Refused // refused
 	// Unreachable means that the instance or its host could not be reached.
 	Unreachable // unreachable
--- a/internal/decide/offers/course.go
+++ b/internal/decide/offers/course.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxUndelivered bounds the attempts that reach no instance: hosts that are full, leaving or no longer listed cost a round trip each.
+	// maxUndelivered bounds the attempts that reach no instance: full hosts, leaving ones and stale list entries cost a round trip each.
 	maxUndelivered = 3
 	// maxDelivered bounds the attempts that reach an instance, in addition to the fleet's retry budget.
 	maxDelivered = 10
--- a/internal/decide/quota/fleet_test.go
+++ b/internal/decide/quota/fleet_test.go
@@ -17,7 +17,7 @@
 	minHeartbeatInterval = 100 * time.Millisecond
 	// startSpread is the time within which daemons that start together send their first heartbeats.
 	startSpread = 300 * time.Millisecond
-	// The guaranteed bound on the requests admitted in any window.
+	// The rate limit is guaranteed for any window of 5 s, with this overage and slack.
 	window  = 5 * time.Second
 	overage = 0.25
 	slack   = 20.0
@@ -183,7 +183,7 @@
 	return int((r.PerSecond*window.Seconds()+r.Burst)*(1+overage) + slack)
 }
 
-// sizes are the fleet sizes and rates the rate limits under test.
+// sizes are the fleet sizes, and rates the rate limits, under test.
 var (
 	sizes = []int{1, 17, 95, 300}
 	rates = []float64{3, 8, 21, 64, 200}
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -52,7 +52,7 @@
 	// demandShareWeight is the fraction of a rate that is divided by shares of the demand in fallback mode. The rest is divided equally, for
 	// clients that move here from an unreachable daemon.
 	demandShareWeight = 0.9
-	// More than surgeRequests plus surgeFactor times the baseline since the last report is a surge, which is reported early.
+	// At least surgeRequests plus surgeFactor times the baseline since the last report is a surge, which is reported early.
 	surgeRequests = 4
 	surgeFactor   = 3
 	// baselineWeight is the weight of the latest report interval in the baseline.
--- a/internal/decide/shed/shed.go
+++ b/internal/decide/shed/shed.go
@@ -56,8 +56,8 @@
 	minAdmitFraction = 0.01
 	// reopenPerSecond is how fast the admitted fraction grows, per second without a response.
 	reopenPerSecond = 0.3
-	// Retry-After is between retryAfterFraction of a route's latency target and retryAfterSpread beyond it: a response is still useful then,
-	// and half of the target remains for the request itself.
+	// Retry-After is retryAfterFraction of a route's latency target, plus a random part of up to retryAfterSpread of it: a response is still
+	// useful then, and half of the target remains for the request itself.
 	retryAfterFraction = 0.15
 	retryAfterSpread   = 0.35
 	// minRetryAfter and maxRetryAfter clamp it, and defaultTarget replaces an unknown target.
