--- a/internal/decide/admission/gate_test.go
+++ b/internal/decide/admission/gate_test.go
@@ -174,7 +174,7 @@
 		for _, retryAfter := range retryAfters {
 			distinct[retryAfter/(10*ms)] = true
 			latest = max(latest, retryAfter)
-			So(retryAfter, ShouldBeBetweenOrEqual, comeback.Soonest, comeback.Latest)
+			So(retryAfter, ShouldBeBetweenOrEqual, comeback.MinDelay, comeback.MaxDelay)
 		}
 		So(len(distinct), ShouldBeGreaterThan, 20)
 	})
--- a/internal/fleet/rate/comeback.go
+++ b/internal/fleet/rate/comeback.go
@@ -14,7 +14,7 @@
 // the rest would cost the daemon another refusal each, many times a second for as long as the
 // organisation is above its rate. So the delays are spread at the rate at which this daemon
 // admits requests of the organisation; the first is the time of the next token. Where that is
-// later than comeback.Latest, the spread is added to it.
+// later than comeback.MaxDelay, the spread is added to it.
 func (b *Borrower) ComeBack(organisation string, wait time.Duration, now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -22,7 +22,7 @@
 	if !ok {
 		return wait
 	}
-	if wait > comeback.Latest {
+	if wait > comeback.MaxDelay {
 		return wait + c.retrySchedule.Next(now, 0, c.admitInterval())
 	}
 	return c.retrySchedule.Next(now, wait, c.admitInterval())
