--- a/internal/fleet/collect/collector.go
+++ b/internal/fleet/collect/collector.go
@@ -15,271 +15,275 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/graph"
 )
 
-// Notes is told what a collector finds out.
+// Notes receives the events that a collector reports.
 type Notes interface {
-	// Planned is told of a plan that turns requests away, now and then.
-	Planned(shortages []allot.Shortage, lanes int)
-	// Leaves is told of a daemon that is about to end.
+	// Planned receives the shortages behind a plan that sheds load and the number of classes that it limits. Calls are rate-limited.
+	Planned(shortages []allot.Shortage, classes int)
+	// Leaves receives the host of a daemon that has started to shut down.
 	Leaves(host netip.Addr)
 }
 
-// Fleet is what a daemon knows of the fleet when it collects.
+// Fleet describes the fleet to a daemon that acts as a collector.
 type Fleet struct {
-	// Daemons is how many there are by the list, and Members the hosts of those that should tell this one.
+	// Daemons is the number of daemons in the host list, Members the hosts whose daemons should report to this collector.
 	Daemons int
 	Members []netip.Addr
-	// Shares returns the services of a route with their parts of its requests; nil while no configuration is known.
+	// Shares returns the fraction of a route's requests that goes to each of its services; nil while no configuration is known.
 	Shares func(route string) map[string]float64
 }
 
-// Collector is what a daemon does for those that tell it of themselves; any daemon may be told.
+// Collector aggregates the heartbeats of other daemons and replies with a plan. Every daemon has one, since any daemon may receive
+// heartbeats.
 type Collector struct {
-	notes   Notes
-	without mechanism.Set
+	observer Notes
+	disabled mechanism.Set
 
-	mu      sync.Mutex
-	demand  *demand.Collector
-	rates   *quota.Pool
-	graph   *graph.Graph
-	planner *allot.Planner
-	parts   []shed.Allocation
-	planned time.Time
-	noted   time.Time
-	// work is what the group's instances have done since its last beat.
+	mu          sync.Mutex
+	demand      *demand.Collector
+	rates       *quota.Pool
+	graph       *graph.Graph
+	planner     *allot.Planner
+	allocations []shed.Allocation
+	plannedAt   time.Time
+	observedAt  time.Time
+	// work is what the group's instances have done since the last group heartbeat, by service.
 	work map[string]Work
-	// leaving are the hosts whose daemons are about to end, by who told of them last.
-	leaving map[netip.AddrPort]leaving
-	silence silence
-	// grouped is when this daemon last told of a group.
-	grouped time.Time
-	// heard is the last answer of another collector, whose word was made at heardAt.
-	heard   Reply
-	heardAt time.Time
+	// leavingBy has the hosts whose daemons are shutting down, by the daemon that reported them.
+	leavingBy map[netip.AddrPort]leavingReport
+	monitor   heartbeatMonitor
+	// groupReportedAt is when this daemon last sent a group heartbeat.
+	groupReportedAt time.Time
+	// otherReply is the last reply of another collector, which made its plan at otherPlanMadeAt.
+	otherReply      Reply
+	otherPlanMadeAt time.Time
 }
 
-// leaving are hosts whose daemons are about to end, as one daemon told of them.
-type leaving struct {
+// leavingReport has the hosts that one daemon reported as shutting down.
+type leavingReport struct {
 	hosts []netip.Addr
 	at    time.Time
 }
 
 const (
-	// planEvery is the least time between two plans: many daemons tell of themselves in each gap between beats.
-	planEvery = 50 * time.Millisecond
-	// noteEvery is the least time between two notes on plans.
-	noteEvery = 500 * time.Millisecond
-	// passOnTime is how old another collector's word may be to be passed on: two beats.
-	passOnTime = 2 * Interval
-	// leavingTime is how long the word of a leaving daemon counts: it is gone or back by then.
-	leavingTime = 10 * time.Second
+	// minPlanInterval limits how often a plan is computed: many daemons send a heartbeat within one interval.
+	minPlanInterval = 50 * time.Millisecond
+	// minObserverInterval limits how often the observer receives a plan's shortages.
+	minObserverInterval = 500 * time.Millisecond
+	// relayTTL is the maximum age of another collector's plan that is still relayed: two heartbeats.
+	relayTTL = 2 * Interval
+	// leavingTTL is how long a report of a leaving daemon is valid: by then the daemon has stopped or has restarted.
+	leavingTTL = 10 * time.Second
 )
 
-// New returns a collector that has heard of nobody.
-func New(notes Notes, without mechanism.Set) *Collector {
+// New returns a collector without any reports.
+func New(observer Notes, disabled mechanism.Set) *Collector {
 	return &Collector{
-		notes: notes, without: without, demand: demand.New(), rates: quota.NewPool(), graph: graph.New(), planner: allot.New(),
-		work: map[string]Work{}, leaving: map[netip.AddrPort]leaving{}, silence: newSilence(),
+		observer: observer, disabled: disabled, demand: demand.New(), rates: quota.NewPool(), graph: graph.New(), planner: allot.New(),
+		work: map[string]Work{}, leavingBy: map[netip.AddrPort]leavingReport{}, monitor: newHeartbeatMonitor(),
 	}
 }
 
-// Configure puts rates in force.
+// Configure replaces the rate limits of the organisations.
 func (c *Collector) Configure(rates map[string]quota.Rate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rates.Configure(rates)
 }
 
-// Handle takes in a beat and answers what the collector knows; the rest of the answer is the caller's.
-func (c *Collector) Handle(in Heartbeat, f Fleet, now time.Time) Reply {
+// Handle records a heartbeat and returns the reply; the caller fills in Version, Revision and StoreAge.
+func (c *Collector) Handle(hb Heartbeat, fleet Fleet, now time.Time) Reply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.demand.Update(in.From, in.Group, in.Report, now)
-	c.rates.Update(in.From, in.Group, in.Counts, in.Up, now)
-	c.graph.Merge(in.Calls)
-	for service, w := range in.Work {
-		c.worked(service, in, w, now)
+	c.demand.Update(hb.From, hb.Group, hb.Report, now)
+	c.rates.Update(hb.From, hb.Group, hb.Counts, hb.Up, now)
+	c.graph.Merge(hb.Calls)
+	for service, work := range hb.Work {
+		c.recordWork(service, hb, work, now)
 	}
-	c.plan(f, now)
-	c.mark(in, now)
-	c.silence.hear(in, now)
+	c.plan(fleet, now)
+	c.recordLeaving(hb, now)
+	c.monitor.record(hb, now)
 	return Reply{
-		Plan: c.word(in, f.Daemons, now), Grants: c.demand.Grants(in.Report.RetryRates, in.Report.Daemons, now),
-		Leaving: c.away(now), Missing: c.silent(f.Members, now),
+		Plan: c.currentPlan(hb, fleet.Daemons, now), Grants: c.demand.Grants(hb.Report.RetryRates, hb.Report.Daemons, now),
+		Leaving: c.leavingHosts(now), Missing: c.missing(fleet.Members, now),
 	}
 }
 
-// silent returns the hosts whose daemons don't tell of themselves any more, by what is known here and by the collector that is heard.
-func (c *Collector) silent(members []netip.Addr, now time.Time) []netip.Addr {
-	listens := c.listens(now)
-	c.silence.collects(listens, now)
-	all := c.silence.inGroups(now)
-	if listens {
-		all = append(all, c.silence.among(members, now)...)
+// missing returns the hosts whose heartbeats are missing, as seen by this collector, by groups, or by the other collector whose reply is
+// current.
+func (c *Collector) missing(members []netip.Addr, now time.Time) []netip.Addr {
+	collecting := c.collectsForMembers(now)
+	c.monitor.setCollecting(collecting, now)
+	all := c.monitor.missingInGroups(now)
+	if collecting {
+		all = append(all, c.monitor.missingOf(members, now)...)
 	}
-	if now.Sub(c.heardAt) <= passOnTime {
-		all = append(all, c.heard.Missing...)
+	if now.Sub(c.otherPlanMadeAt) <= relayTTL {
+		all = append(all, c.otherReply.Missing...)
 	}
-	return compact(all)
+	return sortUnique(all)
 }
 
-// listens reports whether this collector is the one that its members tell: not one that a daemon turned to after a lost packet.
-func (c *Collector) listens(now time.Time) bool {
-	return now.Sub(c.grouped) <= 2*Interval || !c.passesOn(now)
+// collectsForMembers reports whether this collector is the regular one of its members, not just the fallback of a daemon that lost a packet
+// to the regular one.
+func (c *Collector) collectsForMembers(now time.Time) bool {
+	return now.Sub(c.groupReportedAt) <= 2*Interval || !c.relays(now)
 }
 
-// compact sorts hosts and drops those that are named twice.
-func compact(hosts []netip.Addr) []netip.Addr {
+// sortUnique sorts hosts and removes duplicates.
+func sortUnique(hosts []netip.Addr) []netip.Addr {
 	slices.SortFunc(hosts, netip.Addr.Compare)
 	return slices.Compact(hosts)
 }
 
-// worked takes in what instances have done.
-func (c *Collector) worked(service string, in Heartbeat, w Work, now time.Time) {
-	c.planner.RecordHoldTimes(service, in.From.Addr(), w.HoldTimes, now)
-	if !c.without.Has(mechanism.PlannedRetries) {
-		c.planner.RecordDeliveries(service, w.Delivered, w.Retryable, now)
+// recordWork records what a service's instances have done, as a heartbeat reports it.
+func (c *Collector) recordWork(service string, hb Heartbeat, work Work, now time.Time) {
+	c.planner.RecordHoldTimes(service, hb.From.Addr(), work.HoldTimes, now)
+	if !c.disabled.Has(mechanism.PlannedRetries) {
+		c.planner.RecordDeliveries(service, work.Delivered, work.Retryable, now)
 	}
-	if !in.Group {
+	if !hb.Group {
 		sum := c.work[service]
-		sum.add(w)
+		sum.add(work)
 		c.work[service] = sum
 	}
 }
 
-// add sums up the work of instances; routes are few, so a list is enough.
+// add adds the work of other instances. A linear search for the route suffices, since routes are few.
 func (w *Work) add(more Work) {
 	w.Delivered += more.Delivered
 	w.Retryable += more.Retryable
 	for _, h := range more.HoldTimes {
-		w.hold(h)
+		w.addHoldTime(h)
 	}
 }
 
-func (w *Work) hold(more allot.HoldTime) {
-	for n := range w.HoldTimes {
-		if w.HoldTimes[n].Route == more.Route {
-			w.HoldTimes[n].Seconds += more.Seconds
-			w.HoldTimes[n].Count += more.Count
+func (w *Work) addHoldTime(more allot.HoldTime) {
+	for i := range w.HoldTimes {
+		if w.HoldTimes[i].Route == more.Route {
+			w.HoldTimes[i].Seconds += more.Seconds
+			w.HoldTimes[i].Count += more.Count
 			return
 		}
 	}
 	w.HoldTimes = append(w.HoldTimes, more)
 }
 
-// plan works out anew which part of each lane the fleet can do.
-func (c *Collector) plan(f Fleet, now time.Time) {
-	if f.Shares == nil || now.Sub(c.planned) < planEvery || c.passesOn(now) {
+// plan recomputes which fraction of each class the fleet can serve, at most once per minPlanInterval.
+func (c *Collector) plan(fleet Fleet, now time.Time) {
+	if fleet.Shares == nil || now.Sub(c.plannedAt) < minPlanInterval || c.relays(now) {
 		return
 	}
-	c.planned = now
+	c.plannedAt = now
 	state := allot.State{
-		Demand: c.demand.Demand(), CallGraph: c.graph.Edges(), Shares: f.Shares, RetryRates: c.demand.RetryRates(now), Instances: c.demand.Instances(),
+		Demand: c.demand.Demand(), CallGraph: c.graph.Edges(), Shares: fleet.Shares, RetryRates: c.demand.RetryRates(now), Instances: c.demand.Instances(),
 	}
 	state.Saturation, state.Slots = c.demand.Services()
 	plan := c.planner.Plan(state, now)
-	c.parts = make([]shed.Allocation, 0, len(plan))
-	for l, open := range plan {
-		c.parts = append(c.parts, shed.Allocation{Class: l, AdmitFraction: open})
+	c.allocations = make([]shed.Allocation, 0, len(plan))
+	for class, admitFraction := range plan {
+		c.allocations = append(c.allocations, shed.Allocation{Class: class, AdmitFraction: admitFraction})
 	}
-	if len(plan) > 0 && now.Sub(c.noted) > noteEvery {
-		c.noted = now
-		c.notes.Planned(c.planner.Shortages(), len(plan))
+	if len(plan) > 0 && now.Sub(c.observedAt) > minObserverInterval {
+		c.observedAt = now
+		c.observer.Planned(c.planner.Shortages(), len(plan))
 	}
 }
 
-// word returns what is known here, or the word of another collector that hears more daemons: that of the fleet, where this one collects
-// for a group, or of the one that a daemon lost a packet to when it told this one of itself. By its own, the few that it hears would be
-// the fleet.
-func (c *Collector) word(in Heartbeat, daemons int, now time.Time) Plan {
-	if c.passesOn(now) {
-		out := c.heard.Plan
-		out.Age = now.Sub(c.heardAt)
-		return out
+// currentPlan returns this collector's own plan, or relays the plan of another collector that receives the reports of more daemons. That is
+// the fleet's collector if this one collects for a group, or the regular collector if a daemon lost a packet to it and reported to this one
+// instead. Without this, a plan would treat the few daemons that report here as the whole fleet.
+func (c *Collector) currentPlan(hb Heartbeat, daemons int, now time.Time) Plan {
+	if c.relays(now) {
+		plan := c.otherReply.Plan
+		plan.Age = now.Sub(c.otherPlanMadeAt)
+		return plan
 	}
-	heard := c.demand.Daemons()
-	c.rates.SetCoverage(heard, daemons)
-	gap := Interval
-	if daemons > flatMost {
-		gap += GroupInterval
+	reporting := c.demand.Daemons()
+	c.rates.SetCoverage(reporting, daemons)
+	interval := Interval
+	if daemons > maxFlatDaemons {
+		interval += GroupInterval
 	}
-	return Plan{Daemons: heard, Rates: c.rates.Allocations(in.Counts, now), Settled: c.rates.Settled(gap, now), Allocations: c.parts}
+	return Plan{Daemons: reporting, Rates: c.rates.Allocations(hb.Counts, now), Settled: c.rates.Settled(interval, now), Allocations: c.allocations}
 }
 
-// passesOn reports whether another collector's word goes before what is known here.
-func (c *Collector) passesOn(now time.Time) bool {
-	return c.heard.Plan.Daemons > c.demand.Daemons() && now.Sub(c.heardAt) <= passOnTime
+// relays reports whether another collector's plan takes precedence over this collector's own.
+func (c *Collector) relays(now time.Time) bool {
+	return c.otherReply.Plan.Daemons > c.demand.Daemons() && now.Sub(c.otherPlanMadeAt) <= relayTTL
 }
 
-// mark keeps who leaves.
-func (c *Collector) mark(in Heartbeat, now time.Time) {
-	if len(in.Leaving) == 0 {
-		delete(c.leaving, in.From)
+// recordLeaving records which hosts a daemon reports as shutting down.
+func (c *Collector) recordLeaving(hb Heartbeat, now time.Time) {
+	if len(hb.Leaving) == 0 {
+		delete(c.leavingBy, hb.From)
 		return
 	}
-	for _, h := range in.Leaving {
-		if !slices.Contains(c.leaving[in.From].hosts, h) {
-			c.notes.Leaves(h)
+	for _, host := range hb.Leaving {
+		if !slices.Contains(c.leavingBy[hb.From].hosts, host) {
+			c.observer.Leaves(host)
 		}
 	}
-	c.leaving[in.From] = leaving{in.Leaving, now}
+	c.leavingBy[hb.From] = leavingReport{hb.Leaving, now}
 }
 
-// away returns the hosts whose daemons are about to end, by what was told here and by the collector that is heard.
-func (c *Collector) away(now time.Time) []netip.Addr {
-	maps.DeleteFunc(c.leaving, func(_ netip.AddrPort, l leaving) bool { return now.Sub(l.at) > leavingTime })
+// leavingHosts returns the hosts whose daemons are shutting down, as reported to this collector or by the other collector whose reply is
+// current.
+func (c *Collector) leavingHosts(now time.Time) []netip.Addr {
+	maps.DeleteFunc(c.leavingBy, func(_ netip.AddrPort, report leavingReport) bool { return now.Sub(report.at) > leavingTTL })
 	var all []netip.Addr
-	for _, l := range c.leaving {
-		all = append(all, l.hosts...)
+	for _, report := range c.leavingBy {
+		all = append(all, report.hosts...)
 	}
-	if now.Sub(c.heardAt) <= passOnTime {
-		all = append(all, c.heard.Leaving...)
+	if now.Sub(c.otherPlanMadeAt) <= relayTTL {
+		all = append(all, c.otherReply.Leaving...)
 	}
-	return compact(all)
+	return sortUnique(all)
 }
 
-// Apply takes in another collector's answer to a beat that was sent then, and returns when its word was made.
-func (c *Collector) Apply(a Reply, sent time.Time) time.Time {
+// Apply records another collector's reply to a heartbeat that was sent at the given time, and returns when the reply's plan was made.
+func (c *Collector) Apply(reply Reply, sent time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heard, c.heardAt = a, sent.Add(-a.Plan.Age)
-	return c.heardAt
+	c.otherReply, c.otherPlanMadeAt = reply, sent.Add(-reply.Plan.Age)
+	return c.otherPlanMadeAt
 }
 
-// DropPlan drops the word of another collector, which doesn't answer any more.
+// DropPlan discards the plan of another collector, which no longer replies.
 func (c *Collector) DropPlan() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heardAt = time.Time{}
+	c.otherPlanMadeAt = time.Time{}
 }
 
-// FillGroup fills in what the daemons that tell this collector of themselves see together, for the fleet's collector; members are all that
-// should.
-func (c *Collector) FillGroup(b *Heartbeat, members []netip.Addr, now time.Time) {
+// FillGroup fills a heartbeat to the fleet's collector with the sums over the daemons that report to this collector. The members are the
+// hosts whose daemons should report to it.
+func (c *Collector) FillGroup(hb *Heartbeat, members []netip.Addr, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.grouped = now
-	c.silence.collects(true, now)
-	b.Group = true
-	b.Missing = c.silence.among(members, now)
-	b.Report = c.demand.Aggregate(now)
-	b.Counts, b.Up = c.rates.Totals(now)
-	b.Work, c.work = c.work, map[string]Work{}
-	b.Calls = c.graph.Edges().Clone()
-	for from, l := range c.leaving {
-		if now.Sub(l.at) <= leavingTime && !c.demand.IsGroup(from) {
-			b.Leaving = append(b.Leaving, l.hosts...)
+	c.groupReportedAt = now
+	c.monitor.setCollecting(true, now)
+	hb.Group = true
+	hb.Missing = c.monitor.missingOf(members, now)
+	hb.Report = c.demand.Aggregate(now)
+	hb.Counts, hb.Up = c.rates.Totals(now)
+	hb.Work, c.work = c.work, map[string]Work{}
+	hb.Calls = c.graph.Edges().Clone()
+	for from, report := range c.leavingBy {
+		if now.Sub(report.at) <= leavingTTL && !c.demand.IsGroup(from) {
+			hb.Leaving = append(hb.Leaving, report.hosts...)
 		}
 	}
 }
 
-// Heard returns the hosts whose daemons have told this collector of themselves lately.
+// Heard returns the hosts from whose daemons this collector has recently received heartbeats.
 func (c *Collector) Heard(now time.Time) []netip.Addr {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silence.heard(now)
+	return c.monitor.reachable(now)
 }
 
-// SetGrants takes in what the fleet's collector lets the group send once more.
+// SetGrants applies the retry grants of the fleet's collector to this group, in retries a second by service.
 func (c *Collector) SetGrants(grants map[string]float64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/collect/doc.go
+++ b/internal/fleet/collect/doc.go
@@ -1,5 +1,4 @@
-// Package collect brings together what all daemons see. Daemons tell a
-// collector, which is one of them; in a large fleet there is one for each group
-// of daemons, and these tell the fleet's. Nothing lasts and nobody has to
-// agree: who collects follows from the list of hosts.
+// Package collect aggregates the reports of all daemons. Daemons send heartbeats to a collector, which is one of them; in a large fleet
+// each group of daemons has its own collector, and these send heartbeats to the fleet's collector. No state is persisted and no consensus
+// is needed: all daemons compute the collectors from the same host list.
 package collect
--- a/internal/fleet/collect/fleet_test.go
+++ b/internal/fleet/collect/fleet_test.go
@@ -17,186 +17,189 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/graph"
 )
 
-// TestWordInAnyFleet guards against control that is the slower the larger the fleet: plans, rates and who leaves were known seconds late.
-func TestWordInAnyFleet(t *testing.T) {
-	Convey("All daemons have a young word of the whole fleet, and none answers more than it can", t, func() {
+// TestPlanReachesAllDaemons guards against control that is slower in a larger fleet: plans, rates and leaving daemons became known only
+// seconds late.
+func TestPlanReachesAllDaemons(t *testing.T) {
+	Convey("All daemons have a recent plan of the whole fleet, and none handles more heartbeats than it can", t, func() {
 		eachSize(func(size int) {
 			f := newFleet(size, 1, 1)
-			f.settle()
+			f.warmUp()
 			const seconds = 4
-			f.play(seconds*time.Second, 0)
-			So(f.heardByAll(size), ShouldEqual, size)
-			So(f.oldest, ShouldBeLessThanOrEqualTo, mostAge)
-			most := slices.MaxFunc(f.daemons, func(a, b *daemon) int { return a.answered - b.answered })
-			So(most.answered/seconds, ShouldBeLessThanOrEqualTo, mostHeard)
+			f.run(seconds*time.Second, 0)
+			So(f.withCurrentPlan(size), ShouldEqual, size)
+			So(f.maxAge, ShouldBeLessThanOrEqualTo, maxPlanAge)
+			busiest := slices.MaxFunc(f.daemons, func(a, b *daemon) int { return a.handled - b.handled })
+			So(busiest.handled/seconds, ShouldBeLessThanOrEqualTo, maxHeartbeatsPerSecond)
 		})
 	})
-	// Guards against a fleet that hears nothing until a collector that was lost is back, or its entry has ended.
-	Convey("A beat and half a second after the collectors that come first are killed, all hear of the rest again", t, func() {
+	// Guards against a fleet without plans until a collector that was lost is back, or its instance's entry has expired.
+	Convey("One heartbeat interval and half a second after the first collectors are killed, all daemons have a plan of the others again", t, func() {
 		eachSize(func(size int) {
 			f := newFleet(size, 1, 1)
-			f.settle()
-			first := f.layout.Fleet(1, anyHost)[0]
-			killed := map[netip.Addr]bool{first: true, f.layout.Group(f.daemons[0].address.Addr(), 1, anyHost)[0]: true}
+			f.warmUp()
+			first := f.topology.Fleet(1, anyHost)[0]
+			killed := map[netip.Addr]bool{first: true, f.topology.Group(f.daemons[0].address.Addr(), 1, anyHost)[0]: true}
 			for _, a := range slices.Collect(maps.Keys(killed)) {
-				f.at[a].dead = true
+				f.byHost[a].dead = true
 			}
-			f.play(Interval+GroupInterval+500*time.Millisecond, 0)
-			So(f.heardByAll(size*9/10), ShouldEqual, size-len(killed))
+			f.run(Interval+GroupInterval+500*time.Millisecond, 0)
+			So(f.withCurrentPlan(size*9/10), ShouldEqual, size-len(killed))
 		})
 	})
-	// Guards against two sides of a cut fleet of which one has no collector.
-	Convey("Each side of a cut fleet has a word of its own, and the fleet's when the cut heals", t, func() {
+	// Guards against a partitioned fleet of which one side has no collector.
+	Convey("Each side of a partitioned fleet has a plan of its own, and the whole fleet's plan once the partition heals", t, func() {
 		eachSize(func(size int) {
 			f := newFleet(size, 1, 1)
-			f.settle()
-			cut := 0
+			f.warmUp()
+			partitioned := 0
 			for n, d := range f.daemons {
-				if d.cut = n%3 == 0; d.cut {
-					cut++
+				if d.partitioned = n%3 == 0; d.partitioned {
+					partitioned++
 				}
 			}
-			f.play(2*time.Second, 0)
-			f.oldest = 0
-			f.play(time.Second, 0)
-			So(f.oldest, ShouldBeLessThanOrEqualTo, mostAge)
+			f.run(2*time.Second, 0)
+			f.maxAge = 0
+			f.run(time.Second, 0)
+			So(f.maxAge, ShouldBeLessThanOrEqualTo, maxPlanAge)
 			for _, d := range f.daemons {
-				of := size - cut
-				if d.cut {
-					of = cut
+				sideSize := size - partitioned
+				if d.partitioned {
+					sideSize = partitioned
 				}
-				So(d.word.Daemons, ShouldBeLessThanOrEqualTo, of)
+				So(d.latestPlan.Daemons, ShouldBeLessThanOrEqualTo, sideSize)
 			}
 			for _, d := range f.daemons {
-				d.cut = false
+				d.partitioned = false
 			}
-			f.play(avoidFor+2*time.Second, 0)
-			So(f.heardByAll(size), ShouldEqual, size)
+			f.run(avoidTTL+2*time.Second, 0)
+			So(f.withCurrentPlan(size), ShouldEqual, size)
 		})
 	})
 }
 
-// TestSilentDaemons guards against each daemon finding out by a request of its own that another is gone, for every pair of them.
-func TestSilentDaemons(t *testing.T) {
-	Convey("Three seconds after half of the hosts have lost power, the others know which", t, func() {
+// TestMissingDaemons guards against each daemon learning that another is unreachable only from a failed request of its own, for every pair
+// of daemons.
+func TestMissingDaemons(t *testing.T) {
+	Convey("Three seconds after half of the hosts have lost power, the other daemons know which", t, func() {
 		eachSize(func(size int) {
 			f := newFleet(size, 1, 1)
-			f.settle()
+			f.warmUp()
 			f.kill(0.5)
-			f.play(3*time.Second, 0)
+			f.run(3*time.Second, 0)
 			missed, wrong := 0, 0
 			for _, d := range f.daemons {
 				if d.dead {
 					continue
 				}
-				for _, h := range d.silent {
-					if !f.at[h].dead {
+				for _, h := range d.missingHosts {
+					if !f.byHost[h].dead {
 						wrong++
 					}
 				}
-				missed += size/2 - len(d.silent)
+				missed += size/2 - len(d.missingHosts)
 			}
 			So(missed, ShouldEqual, 0)
 			So(wrong, ShouldEqual, 0)
 		})
 	})
-	Convey("One that is back is named no more half a second later", t, func() {
+	Convey("A daemon that is back is no longer listed as missing after two heartbeats", t, func() {
 		eachSize(func(size int) {
 			f := newFleet(size, 1, 1)
-			f.settle()
+			f.warmUp()
 			f.daemons[3].dead = true
-			f.play(2*time.Second, 0)
-			f.boot(f.daemons[3])
-			f.play(2*Interval+GroupInterval+step, 0)
+			f.run(2*time.Second, 0)
+			f.restart(f.daemons[3])
+			f.run(2*Interval+GroupInterval+timeStep, 0)
 			for _, d := range f.daemons {
-				So(d.silent, ShouldBeEmpty)
+				So(d.missingHosts, ShouldBeEmpty)
 			}
 		})
 	})
-	// Guards against leaving out a host that is well, since its daemon tells another collector for a while.
-	Convey("One that lost a packet to the collector is not named", t, func() {
+	// Guards against leaving out a healthy host because its daemon reports to another collector for a while.
+	Convey("A daemon that lost a packet to its collector is not listed as missing", t, func() {
 		eachSize(func(size int) {
 			f := newFleet(size, 1, 1)
-			f.settle()
+			f.warmUp()
 			for n := range 5 {
 				d := f.daemons[n]
-				d.avoided[f.layout.Group(d.address.Addr(), 1, anyHost)[0]] = f.now.Add(avoidFor)
+				d.avoidedUntil[f.topology.Group(d.address.Addr(), 1, anyHost)[0]] = f.now.Add(avoidTTL)
 			}
 			for range 30 {
-				f.play(100*time.Millisecond, 0)
+				f.run(100*time.Millisecond, 0)
 				for _, d := range f.daemons {
-					So(len(d.silent), ShouldEqual, 0)
+					So(len(d.missingHosts), ShouldEqual, 0)
 				}
 			}
 		})
 	})
 }
 
-// TestRatesInAnyFleet guards against a rate that is exceeded by the number of daemons, or refused to callers who move among them.
-func TestRatesInAnyFleet(t *testing.T) {
+// TestRateLimitsAtEveryFleetSize guards against a rate limit that is exceeded by a factor of the number of daemons, and against rejecting
+// callers that move between daemons.
+func TestRateLimitsAtEveryFleetSize(t *testing.T) {
 	each := func(check func(f *fleet)) {
 		for _, size := range sizes {
 			for _, perSecond := range []float64{8, 64, 400} {
 				Convey(fmt.Sprintf("%d daemons, %v a second", size, perSecond), func() {
 					f := newFleet(size, 60, perSecond)
-					f.settle()
+					f.warmUp()
 					check(f)
 				})
 			}
 		}
 	}
-	Convey("A surge of nine times, with half of the clients moving and half of the daemons killed, stays within the bound", t, func() {
+	Convey("A surge to nine times the usual load, with half of the clients moving and half of the daemons killed, stays within the bound", t, func() {
 		each(func(f *fleet) {
-			f.play(3*time.Second, 1)
-			f.play(4*time.Second, 9)
-			f.move(0.5)
-			f.play(3*time.Second, 9)
+			f.run(3*time.Second, 1)
+			f.run(4*time.Second, 9)
+			f.moveClients(0.5)
+			f.run(3*time.Second, 9)
 			f.kill(0.5)
-			f.play(1500*time.Millisecond, 9)
+			f.run(1500*time.Millisecond, 9)
 			for _, d := range f.daemons {
 				if d.dead {
-					f.boot(d)
+					f.restart(d)
 				}
 			}
-			f.play(4*time.Second, 9)
-			So(f.most(), ShouldBeLessThanOrEqualTo, f.allowed())
+			f.run(4*time.Second, 9)
+			So(f.maxAdmittedInWindow(), ShouldBeLessThanOrEqualTo, f.admissionBound())
 		})
 	})
-	// Guards against a collector that takes all that daemons let in while they told another for what came just now.
-	Convey("Few are refused within the rate when a cut has healed and daemons come back to their collector", t, func() {
+	// Guards against a collector that takes all requests that daemons admitted while they reported to another collector for recent demand.
+	Convey("Few requests within the rate limit are rejected after a partition heals and daemons return to their collector", t, func() {
 		each(func(f *fleet) {
-			f.play(3*time.Second, 1)
+			f.run(3*time.Second, 1)
 			for n, d := range f.daemons {
-				d.cut = n%5 == 0
+				d.partitioned = n%5 == 0
 			}
-			f.play(2*time.Second, 1)
+			f.run(2*time.Second, 1)
 			for _, d := range f.daemons {
-				d.cut = false
+				d.partitioned = false
 			}
-			// Until they try their collector again, the smaller side holds to its part of the daemons.
-			f.play(avoidFor-2*time.Second+Interval, 1)
-			f.asked, f.refused = 0, 0
-			f.play(5*time.Second, 1)
-			// The collector knows their demand a beat and a half after they come back.
+			// Until they try their collector again, the daemons of the smaller side use their share of the rate.
+			f.run(avoidTTL-2*time.Second+Interval, 1)
+			f.requested, f.rejected = 0, 0
+			f.run(5*time.Second, 1)
+			// The collector knows their demand one and a half heartbeat intervals after they return.
 			known := (3 * Interval / 2).Seconds()
-			So(f.refused, ShouldBeLessThanOrEqualTo, max(f.asked/50, int(f.rate.PerSecond*known)))
+			So(f.rejected, ShouldBeLessThanOrEqualTo, max(f.requested/50, int(f.rate.PerSecond*known)))
 		})
 	})
-	Convey("Clients that move within the rate are not refused", t, func() {
+	Convey("Clients that move between daemons within the rate limit are not rejected", t, func() {
 		each(func(f *fleet) {
-			f.play(3*time.Second, 1)
-			f.move(0.5)
-			f.play(3*time.Second, 1)
-			So(f.refused, ShouldBeLessThanOrEqualTo, max(f.asked/100, 1))
+			f.run(3*time.Second, 1)
+			f.moveClients(0.5)
+			f.run(3*time.Second, 1)
+			So(f.rejected, ShouldBeLessThanOrEqualTo, max(f.requested/100, 1))
 		})
 	})
 }
 
-// TestGroupsTakeEachOtherForTheFleet guards against demand that is counted ever again where two collectors tell each other of their groups.
-func TestGroupsTakeEachOtherForTheFleet(t *testing.T) {
-	Convey("A collector passes on what daemons told it, not what groups did", t, func() {
+// TestGroupTotalsAreNotRelayed guards against demand that is counted over and over when two collectors send each other group heartbeats.
+func TestGroupTotalsAreNotRelayed(t *testing.T) {
+	Convey("A collector's group heartbeat sums the reports of daemons, not those of groups", t, func() {
 		now := time.Unix(1000, 0)
-		one, two := New(silent{}, mechanism.Set{}), New(silent{}, mechanism.Set{})
+		one, two := New(discardObserver{}, mechanism.Set{}), New(discardObserver{}, mechanism.Set{})
 		a, b := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
 		report := demand.Report{Daemons: 1}
 		one.Handle(Heartbeat{From: a, Report: report}, Fleet{Daemons: 300}, now)
@@ -214,22 +217,23 @@
 	})
 }
 
-// TestBeatThatIsBeingSent guards against a collector that ends with a fault of the runtime: its beat is put into bytes while others come in.
-func TestBeatThatIsBeingSent(t *testing.T) {
-	Convey("A beat for the group stays as it was when more daemons tell of themselves", t, func() {
+// TestGroupHeartbeatIsImmutable guards against a crash of the collector: a group heartbeat is encoded while other heartbeats arrive and
+// change the maps it shares.
+func TestGroupHeartbeatIsImmutable(t *testing.T) {
+	Convey("A group heartbeat doesn't change when more daemons send heartbeats", t, func() {
 		now := time.Unix(1000, 0)
-		c := New(silent{}, mechanism.Set{})
-		beat := func(calls float64) Heartbeat {
+		c := New(discardObserver{}, mechanism.Set{})
+		heartbeat := func(calls float64) Heartbeat {
 			return Heartbeat{
 				From: netip.MustParseAddrPort("10.0.0.1:1"), Report: demand.Report{Daemons: 1}, Calls: graph.Edges{"a": {"b": calls}},
 				Work: map[string]Work{"s": {HoldTimes: []allot.HoldTime{{Route: "a", Seconds: 1, Count: 1}}}}, Counts: map[string]quota.Count{"o": {Requested: 1}},
 			}
 		}
-		c.Handle(beat(2), Fleet{Daemons: 300}, now)
+		c.Handle(heartbeat(2), Fleet{Daemons: 300}, now)
 		var sent Heartbeat
 		c.FillGroup(&sent, nil, now)
 		before := fmt.Sprint(sent)
-		c.Handle(beat(8), Fleet{Daemons: 300}, now.Add(Interval))
+		c.Handle(heartbeat(8), Fleet{Daemons: 300}, now.Add(Interval))
 		So(fmt.Sprint(sent), ShouldEqual, before)
 	})
 }
--- a/internal/fleet/collect/goroutines_test.go
+++ b/internal/fleet/collect/goroutines_test.go
@@ -15,34 +15,35 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/graph"
 )
 
-// TestManyTellAtOnce guards against a beat or an answer that is read while another goroutine changes it; the race detector sees it.
-func TestManyTellAtOnce(t *testing.T) {
-	Convey("Daemons tell a collector while it tells of its group and hears the fleet's", t, func() {
-		const tellers, beats = 8, 200
-		c := New(silent{}, mechanism.Set{})
+// TestConcurrentHeartbeats guards against a heartbeat or a reply that is read while another goroutine changes it; the race detector reports
+// it.
+func TestConcurrentHeartbeats(t *testing.T) {
+	Convey("Daemons send heartbeats to a collector while it sends group heartbeats and applies the replies", t, func() {
+		const senders, heartbeats = 8, 200
+		c := New(discardObserver{}, mechanism.Set{})
 		c.Configure(map[string]quota.Rate{"o": {PerSecond: 1, Burst: 1}})
 		start := time.Unix(1000, 0)
-		var all sync.WaitGroup
-		for n := range tellers {
+		var done sync.WaitGroup
+		for n := range senders {
 			from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 1)
-			all.Go(func() {
-				for i := range beats {
-					b := Heartbeat{
+			done.Go(func() {
+				for i := range heartbeats {
+					hb := Heartbeat{
 						From: from, Report: demand.Report{Daemons: 1}, Calls: graph.Edges{"a": {"b": float64(i)}}, Counts: map[string]quota.Count{"o": {Requested: int64(i)}},
 					}
-					_ = fmt.Sprint(c.Handle(b, Fleet{Daemons: 300}, start.Add(time.Duration(i)*time.Millisecond)))
+					_ = fmt.Sprint(c.Handle(hb, Fleet{Daemons: 300}, start.Add(time.Duration(i)*time.Millisecond)))
 				}
 			})
 		}
-		for i := range beats {
-			var b Heartbeat
+		for i := range heartbeats {
+			var hb Heartbeat
 			now := start.Add(time.Duration(i) * time.Millisecond)
-			c.FillGroup(&b, nil, now)
-			_ = fmt.Sprint(b)
+			c.FillGroup(&hb, nil, now)
+			_ = fmt.Sprint(hb)
 			c.Apply(Reply{Plan: Plan{Daemons: 300}}, now)
 			c.SetGrants(map[string]float64{"s": 1}, now)
 		}
-		all.Wait()
-		So(c.demand.Daemons(), ShouldEqual, tellers)
+		done.Wait()
+		So(c.demand.Daemons(), ShouldEqual, senders)
 	})
 }
--- a/internal/fleet/collect/layout.go
+++ b/internal/fleet/collect/layout.go
@@ -9,100 +9,101 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Host is one on which a daemon runs.
+// Host is a machine on which a daemon runs, with its availability zone.
 type Host struct {
 	Address netip.Addr
 	Zone    string
 }
 
 const (
-	// Interval is the gap between two beats of a daemon.
+	// Interval is the heartbeat interval of a daemon.
 	Interval = 300 * time.Millisecond
-	// GroupInterval is the gap between two beats of a group's collector.
+	// GroupInterval is the heartbeat interval of a group's collector.
 	GroupInterval = 150 * time.Millisecond
-	// flatMost is the largest fleet in which all daemons tell one collector.
-	flatMost = 128
-	// groupMost is how many daemons a group may have on the mean before its zone is parted further.
-	groupMost = 100
+	// maxFlatDaemons is the size of the largest fleet in which all daemons report to one collector.
+	maxFlatDaemons = 128
+	// maxMeanGroup is the mean number of daemons per group above which an availability zone is divided into more groups.
+	maxMeanGroup = 100
 )
 
-// Topology is which daemons collect for which, as all daemons work it out from the same list.
+// Topology says which daemons collect for which others. All daemons compute the same one from the same host list.
 type Topology struct {
-	// order are all hosts in the order in which they collect for the fleet.
-	order  []ranked
-	all    []netip.Addr
-	groups map[group][]netip.Addr
-	of     map[netip.Addr]group
+	// order has all hosts in the order in which they are tried as the fleet's collector.
+	order     []hashedHost
+	addresses []netip.Addr
+	groups    map[group][]netip.Addr
+	groupOf   map[netip.Addr]group
 }
 
-// ranked is a host with its place in the order.
-type ranked struct {
+// hashedHost is a host with the hash that determines its position in the order.
+type hashedHost struct {
 	Host
-	rank uint64
+	hash uint64
 }
 
-// group is a part of an availability zone. Groups follow zones, so that word is short of a hop between them and the loss of a zone takes
-// no other's collector away.
+// group identifies a group of hosts within one availability zone. Groups don't span availability zones: this saves heartbeats a hop between
+// them, and the loss of an availability zone takes away no other's collector.
 type group struct {
-	zone string
-	part uint64
+	zone  string
+	index uint64
 }
 
-// NewTopology returns the layout of a fleet.
+// NewTopology returns the topology of a fleet.
 func NewTopology(hosts []Host) *Topology {
-	l := &Topology{order: make([]ranked, 0, len(hosts)), groups: map[group][]netip.Addr{}, of: make(map[netip.Addr]group, len(hosts))}
-	zones := map[string]int{}
+	t := &Topology{order: make([]hashedHost, 0, len(hosts)), groups: map[group][]netip.Addr{}, groupOf: make(map[netip.Addr]group, len(hosts))}
+	daemonsByZone := map[string]int{}
 	for _, h := range hosts {
-		l.order = append(l.order, ranked{h, rank(h.Address)})
+		t.order = append(t.order, hashedHost{h, hashOf(h.Address)})
 	}
-	slices.SortFunc(l.order, func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), a.Address.Compare(b.Address))
+	slices.SortFunc(t.order, func(a, b hashedHost) int {
+		return cmp.Or(cmp.Compare(a.hash, b.hash), a.Address.Compare(b.Address))
 	})
-	// Two instances on one host have one daemon.
-	l.order = slices.CompactFunc(l.order, func(a, b ranked) bool { return a.Address == b.Address })
-	for _, h := range l.order {
-		l.all = append(l.all, h.Address)
+	// Two instances on one host share one daemon.
+	t.order = slices.CompactFunc(t.order, func(a, b hashedHost) bool { return a.Address == b.Address })
+	for _, h := range t.order {
+		t.addresses = append(t.addresses, h.Address)
 	}
-	if len(l.order) <= flatMost {
-		return l
+	if len(t.order) <= maxFlatDaemons {
+		return t
 	}
-	for _, h := range l.order {
-		zones[h.Zone]++
+	for _, h := range t.order {
+		daemonsByZone[h.Zone]++
 	}
-	for _, h := range l.order {
-		g := group{h.Zone, h.rank % parts(zones[h.Zone])}
-		l.of[h.Address] = g
-		l.groups[g] = append(l.groups[g], h.Address)
+	for _, h := range t.order {
+		g := group{h.Zone, h.hash % groupsInZone(daemonsByZone[h.Zone])}
+		t.groupOf[h.Address] = g
+		t.groups[g] = append(t.groups[g], h.Address)
 	}
-	return l
+	return t
 }
 
-// parts is into how many groups a zone of so many daemons is parted. It doubles, so that it seldom changes while hosts come and go.
-func parts(daemons int) uint64 {
-	n := uint64(1)
-	for daemons > groupMost*int(n) {
-		n *= 2
+// groupsInZone returns the number of groups for an availability zone with the given number of daemons. It grows by doubling, so that it
+// seldom changes while hosts come and go.
+func groupsInZone(daemons int) uint64 {
+	groups := uint64(1)
+	for daemons > maxMeanGroup*int(groups) {
+		groups *= 2
 	}
-	return n
+	return groups
 }
 
-// rank mixes the hosts, so that the collector isn't always the one with the lowest address.
-func rank(a netip.Addr) uint64 {
-	raw := a.As16()
+// hashOf returns the sort key of a host. A hash is used so that the collector isn't always the host with the lowest address.
+func hashOf(host netip.Addr) uint64 {
+	raw := host.As16()
 	return xxhash.Sum64(raw[:])
 }
 
-// Size is how many daemons there are.
-func (l *Topology) Size() int { return len(l.order) }
+// Size returns the number of daemons.
+func (t *Topology) Size() int { return len(t.order) }
 
-// Flat reports whether all daemons tell one collector.
-func (l *Topology) Flat() bool { return len(l.groups) == 0 }
+// Flat reports whether all daemons report to one collector, without groups.
+func (t *Topology) Flat() bool { return len(t.groups) == 0 }
 
-// Fleet returns the first hosts of the fleet's order for which usable holds, up to so many.
-func (l *Topology) Fleet(most int, usable func(netip.Addr) bool) []netip.Addr {
-	first := make([]netip.Addr, 0, most)
-	for _, h := range l.order {
-		if len(first) == most {
+// Fleet returns up to count hosts that may collect for the fleet: the first usable ones in the fleet's order.
+func (t *Topology) Fleet(count int, usable func(netip.Addr) bool) []netip.Addr {
+	first := make([]netip.Addr, 0, count)
+	for _, h := range t.order {
+		if len(first) == count {
 			break
 		}
 		if usable(h.Address) {
@@ -112,16 +113,16 @@
 	return first
 }
 
-// Group returns the first hosts of the order in the host's group, as Fleet does; those of the fleet where there are no groups, or the
-// host is not listed.
-func (l *Topology) Group(of netip.Addr, most int, usable func(netip.Addr) bool) []netip.Addr {
-	g, known := l.of[of]
+// Group returns up to count hosts that may collect for the host's group, as Fleet does for the fleet. It returns those of the fleet if
+// there are no groups or the host is not listed.
+func (t *Topology) Group(host netip.Addr, count int, usable func(netip.Addr) bool) []netip.Addr {
+	g, known := t.groupOf[host]
 	if !known {
-		return l.Fleet(most, usable)
+		return t.Fleet(count, usable)
 	}
-	first := make([]netip.Addr, 0, most)
-	for _, h := range l.groups[g] {
-		if len(first) == most {
+	first := make([]netip.Addr, 0, count)
+	for _, h := range t.groups[g] {
+		if len(first) == count {
 			break
 		}
 		if usable(h) {
@@ -131,17 +132,17 @@
 	return first
 }
 
-// Members returns the hosts whose daemons tell the collector of the host's group, all of the fleet where there are no groups; the slice
-// must not be changed.
-func (l *Topology) Members(of netip.Addr) []netip.Addr {
-	if g, known := l.of[of]; known {
-		return l.groups[g]
+// Members returns the hosts whose daemons report to the collector of the host's group, or all hosts if there are no groups. The slice must
+// not be changed.
+func (t *Topology) Members(host netip.Addr) []netip.Addr {
+	if g, known := t.groupOf[host]; known {
+		return t.groups[g]
 	}
-	return l.all
+	return t.addresses
 }
 
-// Position is how many hosts come before this one in the fleet's order.
-func (l *Topology) Position(of netip.Addr) int {
-	place, _ := slices.BinarySearchFunc(l.order, rank(of), func(h ranked, r uint64) int { return cmp.Compare(h.rank, r) })
-	return place
+// Position returns the number of hosts before this one in the fleet's order.
+func (t *Topology) Position(host netip.Addr) int {
+	position, _ := slices.BinarySearchFunc(t.order, hashOf(host), func(h hashedHost, r uint64) int { return cmp.Compare(h.hash, r) })
+	return position
 }
--- a/internal/fleet/collect/layout_test.go
+++ b/internal/fleet/collect/layout_test.go
@@ -9,8 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// listed returns so many hosts over some zones.
-func listed(daemons, zones int) []Host {
+// newHosts returns hosts spread over the given number of availability zones.
+func newHosts(daemons, zones int) []Host {
 	all := make([]Host, 0, daemons)
 	for n := range daemons {
 		var raw [4]byte
@@ -22,34 +22,34 @@
 
 func anyHost(netip.Addr) bool { return true }
 
-func TestLayout(t *testing.T) {
-	Convey("A fleet of a hundred tells one collector, as the hosts outside the list do", t, func() {
-		l := NewTopology(listed(95, 5))
+func TestTopology(t *testing.T) {
+	Convey("The daemons of a fleet of a hundred report to one collector, also those on hosts outside the list", t, func() {
+		l := NewTopology(newHosts(95, 5))
 		So(l.Flat(), ShouldBeTrue)
 		first := l.Fleet(1, anyHost)
-		for _, h := range listed(96, 5) {
+		for _, h := range newHosts(96, 5) {
 			So(l.Group(h.Address, 1, anyHost), ShouldResemble, first)
 		}
 	})
-	Convey("Groups are of one zone and bounded, and each host is in one", t, func() {
+	Convey("Each host is in one group, and groups are within one availability zone and bounded", t, func() {
 		for _, size := range []int{129, 300, 1000, 3400} {
-			hosts := listed(size, 11)
+			hosts := newHosts(size, 11)
 			l := NewTopology(hosts)
-			in := map[group]int{}
+			daemonsByGroup := map[group]int{}
 			for _, h := range hosts {
-				g := l.of[h.Address]
+				g := l.groupOf[h.Address]
 				So(g.zone, ShouldEqual, h.Zone)
-				in[g]++
+				daemonsByGroup[g]++
 			}
-			for _, n := range in {
-				So(n, ShouldBeLessThanOrEqualTo, 2*groupMost)
+			for _, n := range daemonsByGroup {
+				So(n, ShouldBeLessThanOrEqualTo, 2*maxMeanGroup)
 			}
-			So(len(in), ShouldBeLessThanOrEqualTo, 11*max(size/11/groupMost*2, 1)*2)
+			So(len(daemonsByGroup), ShouldBeLessThanOrEqualTo, 11*max(size/11/maxMeanGroup*2, 1)*2)
 		}
 	})
-	// Guards against a fleet in which each host that comes or goes sends many others to a new collector, which knows nothing of them yet.
-	Convey("The loss of a host moves nobody but those that it collected for", t, func() {
-		hosts := listed(3400, 11)
+	// Guards against a fleet in which each host that comes or goes moves many daemons to a new collector, which starts without data on them.
+	Convey("The loss of a host changes the collector of only those hosts that it collected for", t, func() {
+		hosts := newHosts(3400, 11)
 		before, after := NewTopology(hosts), NewTopology(hosts[1:])
 		lost := hosts[0].Address
 		for _, h := range hosts[1:] {
@@ -58,14 +58,14 @@
 			}
 		}
 	})
-	Convey("A host that can't be used is passed over", t, func() {
-		l := NewTopology(listed(300, 5))
+	Convey("An unusable host is skipped", t, func() {
+		l := NewTopology(newHosts(300, 5))
 		all := l.Fleet(3, anyHost)
 		So(l.Fleet(2, func(a netip.Addr) bool { return a != all[0] }), ShouldResemble, all[1:])
 		So(l.Position(all[2]), ShouldEqual, 2)
 	})
-	Convey("Two instances on one host have one daemon", t, func() {
-		hosts := listed(3, 1)
+	Convey("Two instances on one host share one daemon", t, func() {
+		hosts := newHosts(3, 1)
 		So(NewTopology(append(hosts, hosts[0])).Size(), ShouldEqual, 3)
 	})
 }
--- a/internal/fleet/collect/message.go
+++ b/internal/fleet/collect/message.go
@@ -11,64 +11,64 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/graph"
 )
 
-// Heartbeat tells a collector what a daemon knows and sees, or a group's collector what its group does.
+// Heartbeat is the periodic message of a daemon to its collector, or of a group's collector to the fleet's collector.
 type Heartbeat struct {
 	From netip.AddrPort `msgpack:"from"`
-	// Version and Revision are those of the configuration and the instances that the sender knows.
+	// Version is that of the sender's configuration, Revision that of the instances that it knows.
 	Version  uint64 `msgpack:"version"`
 	Revision uint64 `msgpack:"revision"`
-	// StoreAge is how long ago the sender itself heard from the store.
+	// StoreAge is the age of the sender's information from the configuration store, without what its own collector has reported.
 	StoreAge time.Duration `msgpack:"storeAge"`
-	// Group means that a collector speaks for its group.
+	// Group means that a collector reports on behalf of its group.
 	Group bool `msgpack:"group"`
-	// Up is for how long the sender has been counting, and Counts what was asked for and let in since then, by organisation.
+	// Up is how long the sender has been counting, Counts the requests received and admitted in that time, by organisation.
 	Up     time.Duration          `msgpack:"up"`
 	Counts map[string]quota.Count `msgpack:"counts"`
 	Report demand.Report          `msgpack:"report"`
-	// Work is what instances have done since the last beat, by service.
+	// Work is what instances have done since the last heartbeat, by service.
 	Work map[string]Work `msgpack:"work"`
-	// Calls is what the instance's runs call.
+	// Calls has the sub-calls per run of the instance, by route.
 	Calls graph.Edges `msgpack:"calls"`
-	// Leaving are the hosts whose daemons are about to end.
+	// Leaving has the hosts whose daemons are shutting down.
 	Leaving []netip.Addr `msgpack:"leaving"`
-	// Missing are the hosts of the group whose daemons don't tell of themselves any more.
+	// Missing has the hosts of the group whose heartbeats are missing.
 	Missing []netip.Addr `msgpack:"silent"`
-	// Heard are the hosts whose daemons have told the sender of themselves, since they did not reach the collector.
+	// Heard has the hosts whose daemons sent heartbeats to the sender because they could not reach the collector.
 	Heard []netip.Addr `msgpack:"heard"`
 }
 
-// Work is what instances of a service have done over some time.
+// Work is what instances of a service have done over some period.
 type Work struct {
-	// HoldTimes is for how long requests have held slots.
+	// HoldTimes says how long requests have held slots, by route.
 	HoldTimes []allot.HoldTime `msgpack:"held"`
-	// Delivered is how many requests have reached an instance, and Retryable how many of them have to be sent again.
+	// Delivered counts the requests that reached an instance, Retryable those of them that must be retried.
 	Delivered int `msgpack:"seen"`
 	Retryable int `msgpack:"wasted"`
 }
 
-// Reply is the answer to a beat.
+// Reply is a collector's reply to a heartbeat.
 type Reply struct {
 	Version  uint64 `msgpack:"version"`
 	Revision uint64 `msgpack:"revision"`
 	Plan     Plan   `msgpack:"word"`
-	// StoreAge is how long ago the collector heard from the store.
+	// StoreAge is the age of the collector's latest information from the configuration store.
 	StoreAge time.Duration `msgpack:"storeAge"`
-	// Grants are what the daemon may send once more to each service, in repeats a second.
+	// Grants are the retry rates granted to the daemon, in retries a second by service.
 	Grants map[string]float64 `msgpack:"grants"`
-	// Leaving are the hosts whose daemons are about to end, and Missing those whose daemons don't tell of themselves any more.
+	// Leaving has the hosts whose daemons are shutting down, Missing those whose heartbeats are missing.
 	Leaving []netip.Addr `msgpack:"leaving"`
 	Missing []netip.Addr `msgpack:"silent"`
 }
 
-// Plan is what a collector has worked out from what so many daemons have told.
+// Plan is what a collector has decided, based on the reports of Daemons daemons.
 type Plan struct {
 	Daemons int `msgpack:"daemons"`
-	// Age is how old the word was when it was passed on.
+	// Age is the plan's age when it was relayed; 0 for a collector's own plan.
 	Age time.Duration `msgpack:"age"`
-	// Rates are the organisations that are over their rate, and those that were named; they count only where Settled tells
-	// that the collector has heard of all demand.
+	// Rates has the allocations of the organisations that are above their rate limit and of those that the heartbeat named. They are valid
+	// only if Settled, which means that the collector has received the demand of all daemons.
 	Rates   map[string]quota.Allocation `msgpack:"rates"`
 	Settled bool                        `msgpack:"settled"`
-	// Allocations are the lanes of which not all can be done.
+	// Allocations has the classes that can't be admitted in full.
 	Allocations []shed.Allocation `msgpack:"parts"`
 }
--- a/internal/fleet/collect/race_test.go
+++ b/internal/fleet/collect/race_test.go
@@ -2,5 +2,5 @@
 
 package collect
 
-// The models run on one goroutine, in which the detector finds nothing and takes minutes for thousands of daemons.
+// The models run on one goroutine: the race detector finds nothing in them, and takes minutes for thousands of daemons.
 func init() { sizes = sizes[:2] }
--- a/internal/fleet/collect/silence.go
+++ b/internal/fleet/collect/silence.go
@@ -8,83 +8,83 @@
 )
 
 const (
-	// silentAfter is how long after its last beat a daemon counts as silent: two beats that did not come.
-	silentAfter = 2*Interval + 200*time.Millisecond
-	// listenTime is how long a collector must have been the one that daemons tell before it knows who is silent.
-	listenTime = silentAfter + Interval
-	// groupTime is how long a group's word on who is silent counts.
-	groupTime = time.Second
+	// missingAfter is the time since a daemon's last heartbeat after which the daemon counts as missing: two heartbeats did not arrive.
+	missingAfter = 2*Interval + 200*time.Millisecond
+	// minCollectingTime is how long a collector must have received its members' heartbeats before it can say which are missing.
+	minCollectingTime = missingAfter + Interval
+	// groupReportTTL is how long a group's list of missing hosts is valid.
+	groupReportTTL = time.Second
 )
 
-// silence is who has stopped telling of itself.
+// heartbeatMonitor finds the hosts whose heartbeats are missing.
 //
-// It is for many hosts that lose power at once. A daemon finds out that another is gone by a request that has no answer, so each would
-// lose one at least to each host that is gone: the square of the fleet.
-type silence struct {
-	last map[netip.Addr]time.Time
-	// since is when this collector became the one that daemons tell; zero while another is.
-	since time.Time
-	// groups are the silent hosts that groups have told of.
-	groups map[netip.AddrPort]toldSilent
+// Designed for many hosts that lose power at once. Without it, a daemon would notice an unreachable host only by a request without a
+// response, so each daemon would lose at least one request to each such host: a number that grows with the square of the fleet.
+type heartbeatMonitor struct {
+	lastSeen map[netip.Addr]time.Time
+	// collectingSince is when this collector became the regular one of its members; zero while another collector is.
+	collectingSince time.Time
+	// groupReports has the missing hosts that groups have reported, by the address of the group's collector.
+	groupReports map[netip.AddrPort]groupReport
 }
 
-type toldSilent struct {
+type groupReport struct {
 	hosts []netip.Addr
 	at    time.Time
 }
 
-func newSilence() silence {
-	return silence{last: map[netip.Addr]time.Time{}, groups: map[netip.AddrPort]toldSilent{}}
+func newHeartbeatMonitor() heartbeatMonitor {
+	return heartbeatMonitor{lastSeen: map[netip.Addr]time.Time{}, groupReports: map[netip.AddrPort]groupReport{}}
 }
 
-// hear takes in whose sign of life a beat is.
-func (s *silence) hear(in Heartbeat, now time.Time) {
-	s.last[in.From.Addr()] = now
-	for _, h := range in.Heard {
-		s.last[h] = now
+// record notes which hosts a heartbeat proves to be up.
+func (m *heartbeatMonitor) record(hb Heartbeat, now time.Time) {
+	m.lastSeen[hb.From.Addr()] = now
+	for _, host := range hb.Heard {
+		m.lastSeen[host] = now
 	}
-	if in.Group {
-		s.groups[in.From] = toldSilent{in.Missing, now}
+	if hb.Group {
+		m.groupReports[hb.From] = groupReport{hb.Missing, now}
 	}
 }
 
-// collects notes whether this collector is the one that daemons tell.
-func (s *silence) collects(does bool, now time.Time) {
+// setCollecting records whether this collector is the regular one of its members.
+func (m *heartbeatMonitor) setCollecting(collecting bool, now time.Time) {
 	switch {
-	case !does:
-		s.since = time.Time{}
-	case s.since.IsZero():
-		s.since = now
+	case !collecting:
+		m.collectingSince = time.Time{}
+	case m.collectingSince.IsZero():
+		m.collectingSince = now
 	}
 }
 
-// among returns which of the daemons that should tell this collector don't.
-func (s *silence) among(members []netip.Addr, now time.Time) []netip.Addr {
-	if s.since.IsZero() || now.Sub(s.since) < listenTime {
+// missingOf returns the members whose heartbeats are missing.
+func (m *heartbeatMonitor) missingOf(members []netip.Addr, now time.Time) []netip.Addr {
+	if m.collectingSince.IsZero() || now.Sub(m.collectingSince) < minCollectingTime {
 		return nil
 	}
-	var silent []netip.Addr
-	for _, h := range members {
-		if now.Sub(s.last[h]) > silentAfter {
-			silent = append(silent, h)
+	var missing []netip.Addr
+	for _, host := range members {
+		if now.Sub(m.lastSeen[host]) > missingAfter {
+			missing = append(missing, host)
 		}
 	}
-	return silent
+	return missing
 }
 
-// inGroups returns who is silent by the word of groups.
-func (s *silence) inGroups(now time.Time) []netip.Addr {
-	var silent []netip.Addr
-	for _, g := range s.groups {
-		if now.Sub(g.at) <= groupTime {
-			silent = append(silent, g.hosts...)
+// missingInGroups returns the hosts that groups report as missing.
+func (m *heartbeatMonitor) missingInGroups(now time.Time) []netip.Addr {
+	var missing []netip.Addr
+	for _, report := range m.groupReports {
+		if now.Sub(report.at) <= groupReportTTL {
+			missing = append(missing, report.hosts...)
 		}
 	}
-	return silent
+	return missing
 }
 
-// heard returns who has told of itself lately.
-func (s *silence) heard(now time.Time) []netip.Addr {
-	maps.DeleteFunc(s.last, func(_ netip.Addr, at time.Time) bool { return now.Sub(at) > silentAfter })
-	return slices.SortedFunc(maps.Keys(s.last), netip.Addr.Compare)
+// reachable returns the hosts whose daemons have recently sent heartbeats.
+func (m *heartbeatMonitor) reachable(now time.Time) []netip.Addr {
+	maps.DeleteFunc(m.lastSeen, func(_ netip.Addr, at time.Time) bool { return now.Sub(at) > missingAfter })
+	return slices.SortedFunc(maps.Keys(m.lastSeen), netip.Addr.Compare)
 }
