--- a/internal/fleet/demand/collector.go
+++ b/internal/fleet/demand/collector.go
@@ -14,41 +14,42 @@
 
 // Collector keeps the last report of each daemon or group and their sums; it is used by one goroutine at a time.
 //
-// Sums are kept and not made anew for each report: with 300 daemons and some hundred lanes that would be
-// millions of additions a second.
+// The sums are updated incrementally, not recomputed for each report: with 300 daemons and several hundred classes that would be millions
+// of additions a second.
 type Collector struct {
-	reports  map[netip.AddrPort]stored
-	daemons  int
-	lanes    map[shed.Class]float64
-	repeats  map[string]repeats.Rates
-	services map[string]Service
-	swept    time.Time
-	// most is the most that one daemon gets of a service's repeats, as of leveled.
-	most    map[string]float64
-	leveled time.Time
-	// lent is what the daemons here may repeat together by the word of the fleet's collector, as of lentAt.
-	lent   map[string]float64
-	lentAt time.Time
-}
-
-// Report is what one daemon sees, or a group of them.
+	reports    map[netip.AddrPort]storedReport
+	daemons    int
+	demand     map[shed.Class]float64
+	retryRates map[string]repeats.Rates
+	services   map[string]Service
+	sweptAt    time.Time
+	// fairCaps has each daemon's maximum share of a service's retries, as computed at fairCapsAt.
+	fairCaps   map[string]float64
+	fairCapsAt time.Time
+	// grants are the retry rates that the fleet's collector granted to all daemons of this group together, as of grantsAt.
+	grants   map[string]float64
+	grantsAt time.Time
+}
+
+// Report is what one daemon observes, or the sum over a group of daemons.
 type Report struct {
-	// Daemons is how many the report is of.
+	// Daemons is the number of daemons that the report covers.
 	Daemons int `msgpack:"daemons"`
-	// Services are those of the instances beside them.
+	// Services has the services of the instances on the daemons' hosts.
 	Services map[string]Service `msgpack:"services"`
-	// Demand is what callers ask for there.
+	// Demand is the arrival rate of callers' requests at these daemons, by class.
 	Demand []shed.Rate `msgpack:"lanes"`
-	// RetryRates are what the daemons may and would like to send once more to each service.
+	// RetryRates are the retries that the daemons have earned and want to send, by service.
 	RetryRates map[string]repeats.Rates `msgpack:"repeats"`
 }
 
-// Service is what is seen of instances of one service.
+// Service sums what is observed of instances of one service.
 type Service struct {
 	Instances int `msgpack:"instances"`
-	// Saturation adds up, over the instances, the part of their slots in use, above 1 by how long requests wait.
+	// Saturation is the sum over the instances. The saturation of one is slots in use / slots while some are free; with all in use it is
+	// one plus expected wait / wait unit, so it exceeds 1.
 	Saturation float64 `msgpack:"fullness"`
-	// Slots are those that can be used now.
+	// Slots is the number of slots that can be used now.
 	Slots int `msgpack:"slots"`
 }
 
@@ -60,55 +61,55 @@
 	}
 }
 
-type stored struct {
+type storedReport struct {
 	Report
-	// group means that another collector speaks for its daemons.
+	// group means that another collector reports on behalf of its daemons.
 	group bool
 	at    time.Time
 }
 
 const (
-	// reportTime is how long a report counts without a new one, some gaps between two: a daemon that is gone sends nothing, and the
-	// clients of its host go elsewhere.
-	reportTime = 1200 * time.Millisecond
-	// sweepEvery is how often old reports are looked for.
-	sweepEvery = 300 * time.Millisecond
-	// levelEvery is how often it is worked out what one daemon may repeat at most: it takes a look at all reports.
-	levelEvery = 100 * time.Millisecond
-	// lentTime is how long that counts.
-	lentTime = time.Second
+	// reportTTL is how long a report is valid without a new one, several heartbeat intervals: an unreachable daemon sends nothing, and the
+	// clients of its host move to other hosts.
+	reportTTL = 1200 * time.Millisecond
+	// sweepInterval is how often expired reports are looked for.
+	sweepInterval = 300 * time.Millisecond
+	// fairCapsInterval is how often the fair caps on retries are recomputed, which reads all reports.
+	fairCapsInterval = 100 * time.Millisecond
+	// grantsTTL is how long the grants of the fleet's collector are valid.
+	grantsTTL = time.Second
 )
 
 // New returns a collector without reports.
 func New() *Collector {
 	return &Collector{
-		reports: map[netip.AddrPort]stored{}, lanes: map[shed.Class]float64{}, repeats: map[string]repeats.Rates{},
-		services: map[string]Service{}, most: map[string]float64{},
+		reports: map[netip.AddrPort]storedReport{}, demand: map[shed.Class]float64{}, retryRates: map[string]repeats.Rates{},
+		services: map[string]Service{}, fairCaps: map[string]float64{},
 	}
 }
 
-// Update replaces the report of the daemon, or of the group that a collector speaks for.
-func (c *Collector) Update(from netip.AddrPort, group bool, r Report, now time.Time) {
-	if old, known := c.reports[from]; known {
+// Update replaces the report of a daemon, or of the group that a collector reports on behalf of.
+func (c *Collector) Update(from netip.AddrPort, group bool, report Report, now time.Time) {
+	if old, ok := c.reports[from]; ok {
 		c.add(old.Report, -1)
 	}
-	c.add(r, 1)
-	c.reports[from] = stored{Report: r, group: group, at: now}
-	if now.Sub(c.swept) > sweepEvery {
+	c.add(report, 1)
+	c.reports[from] = storedReport{Report: report, group: group, at: now}
+	if now.Sub(c.sweptAt) > sweepInterval {
 		c.sweep(now)
 	}
 }
 
-func (c *Collector) add(r Report, sign int) {
-	c.daemons += sign * r.Daemons
-	for _, l := range r.Demand {
-		c.lanes[l.Class] += float64(sign) * l.PerSecond
+func (c *Collector) add(report Report, sign int) {
+	c.daemons += sign * report.Daemons
+	for _, rate := range report.Demand {
+		c.demand[rate.Class] += float64(sign) * rate.PerSecond
 	}
-	for name, own := range r.RetryRates {
-		sum := c.repeats[name]
-		c.repeats[name] = repeats.Rates{Earned: sum.Earned + float64(sign)*own.Earned, Wanted: sum.Wanted + float64(sign)*own.Wanted}
+	for name, rates := range report.RetryRates {
+		sum := c.retryRates[name]
+		c.retryRates[name] = repeats.Rates{Earned: sum.Earned + float64(sign)*rates.Earned, Wanted: sum.Wanted + float64(sign)*rates.Wanted}
 	}
-	for name, s := range r.Services {
+	for name, s := range report.Services {
 		c.services[name] = c.services[name].plus(sign, s)
 		if c.services[name].Instances == 0 {
 			delete(c.services, name)
@@ -117,123 +118,127 @@
 }
 
 func (c *Collector) sweep(now time.Time) {
-	c.swept = now
-	for from, r := range c.reports {
-		if now.Sub(r.at) > reportTime {
-			c.add(r.Report, -1)
+	c.sweptAt = now
+	for from, stored := range c.reports {
+		if now.Sub(stored.at) > reportTTL {
+			c.add(stored.Report, -1)
 			delete(c.reports, from)
 		}
 	}
-	maps.DeleteFunc(c.repeats, func(_ string, w repeats.Rates) bool { return w.Earned < rounding && w.Wanted < rounding })
-	maps.DeleteFunc(c.lanes, func(_ shed.Class, d float64) bool { return d < rounding })
+	maps.DeleteFunc(c.retryRates, func(_ string, rates repeats.Rates) bool { return rates.Earned < epsilon && rates.Wanted < epsilon })
+	maps.DeleteFunc(c.demand, func(_ shed.Class, perSecond float64) bool { return perSecond < epsilon })
 }
 
-// rounding is what sums and differences of reports may leave over.
-const rounding = 1e-6
+// epsilon is the rounding residue that adding and subtracting reports may leave in a sum.
+const epsilon = 1e-6
 
-// Aggregate returns the sum of the daemons' own reports, without those of groups: were these passed on too, two collectors that
-// each take the other for that of the fleet would count them ever again.
+// Aggregate returns the sum of the daemons' own reports, without those of groups. If these were included, two collectors that each take the
+// other for the fleet's collector would count them over and over.
 func (c *Collector) Aggregate(now time.Time) Report {
 	sum := New()
 	for _, from := range slices.SortedFunc(maps.Keys(c.reports), netip.AddrPort.Compare) {
-		if r := c.reports[from]; !r.group && now.Sub(r.at) <= reportTime {
-			sum.add(r.Report, 1)
+		if stored := c.reports[from]; !stored.group && now.Sub(stored.at) <= reportTTL {
+			sum.add(stored.Report, 1)
 		}
 	}
-	out := Report{Daemons: sum.daemons, Services: sum.services, RetryRates: sum.repeats}
-	for l, perSecond := range sum.lanes {
-		out.Demand = append(out.Demand, shed.Rate{Class: l, PerSecond: perSecond})
+	out := Report{Daemons: sum.daemons, Services: sum.services, RetryRates: sum.retryRates}
+	for class, perSecond := range sum.demand {
+		out.Demand = append(out.Demand, shed.Rate{Class: class, PerSecond: perSecond})
 	}
 	return out
 }
 
-// IsGroup reports whether the last report of the sender was for a group.
+// IsGroup reports whether the sender's last report was for a group.
 func (c *Collector) IsGroup(from netip.AddrPort) bool { return c.reports[from].group }
 
-// Demand returns what callers ask for over all daemons, in requests a second; it must not be changed, and holds until the next report.
-func (c *Collector) Demand() map[shed.Class]float64 { return c.lanes }
+// Demand returns the arrival rates by class over all daemons, in requests a second. The map must not be changed and is valid until the next
+// Update.
+func (c *Collector) Demand() map[shed.Class]float64 { return c.demand }
 
-// RetryRates returns what the fleet may and would like to send once more to each service.
+// RetryRates returns the retries that the fleet has earned and wants to send, by service.
 func (c *Collector) RetryRates(now time.Time) map[string]repeats.Rates {
-	all := make(map[string]repeats.Rates, len(c.repeats))
-	for name := range c.repeats {
-		all[name] = c.together(name, now)
+	all := make(map[string]repeats.Rates, len(c.retryRates))
+	for name := range c.retryRates {
+		all[name] = c.fleetRates(name, now)
 	}
 	return all
 }
 
-// SetGrants takes in what the daemons here may send once more together, in repeats a second, by the word of the fleet's collector.
-func (c *Collector) SetGrants(all map[string]float64, now time.Time) { c.lent, c.lentAt = all, now }
+// SetGrants applies the retry rates that the fleet's collector granted to all daemons of this group together, in retries a second.
+func (c *Collector) SetGrants(grants map[string]float64, now time.Time) {
+	c.grants, c.grantsAt = grants, now
+}
 
-// together is what all daemons here may and would like to send once more to a service.
-func (c *Collector) together(service string, now time.Time) repeats.Rates {
-	sum := c.repeats[service]
-	if lent, known := c.lent[service]; known && now.Sub(c.lentAt) <= lentTime {
-		sum.Earned = lent
+// fleetRates returns the retry rates of all daemons that report here, where a current grant of the fleet's collector replaces what they
+// have earned.
+func (c *Collector) fleetRates(service string, now time.Time) repeats.Rates {
+	sum := c.retryRates[service]
+	if grant, ok := c.grants[service]; ok && now.Sub(c.grantsAt) <= grantsTTL {
+		sum.Earned = grant
 	}
 	return sum
 }
 
-// Grants returns what so many daemons may send once more to each service that they name, in repeats a second.
-func (c *Collector) Grants(own map[string]repeats.Rates, daemons int, now time.Time) map[string]float64 {
-	if now.Sub(c.leveled) > levelEvery {
-		c.leveled = now
-		c.level(now)
+// Grants returns the retry rate granted to the given number of daemons for each service that they name, in retries a second.
+func (c *Collector) Grants(demanded map[string]repeats.Rates, daemons int, now time.Time) map[string]float64 {
+	if now.Sub(c.fairCapsAt) > fairCapsInterval {
+		c.fairCapsAt = now
+		c.computeFairCaps(now)
 	}
-	all := make(map[string]float64, len(own))
-	for name, w := range own {
-		most, known := c.most[name]
-		if !known {
-			most = math.Inf(1)
+	all := make(map[string]float64, len(demanded))
+	for name, rates := range demanded {
+		fairCap, ok := c.fairCaps[name]
+		if !ok {
+			fairCap = math.Inf(1)
 		}
-		all[name] = repeats.Grant(c.together(name, now), w, most*float64(daemons))
+		all[name] = repeats.Grant(c.fleetRates(name, now), rates, fairCap*float64(daemons))
 	}
 	return all
 }
 
-// level works out the most that one daemon gets of each service's repeats, where there are fewer than all would like to send.
-func (c *Collector) level(now time.Time) {
-	clear(c.most)
+// computeFairCaps computes the maximum share of one daemon in each service's retries, for services that have fewer than all daemons want.
+func (c *Collector) computeFairCaps(now time.Time) {
+	clear(c.fairCaps)
 	wanted := map[string][]float64{}
-	for _, r := range c.reports {
-		for name, w := range r.RetryRates {
-			// A group's are taken to want alike.
-			if sum := c.together(name, now); sum.Wanted >= sum.Earned {
-				wanted[name] = append(wanted[name], slices.Repeat([]float64{w.Wanted / float64(r.Daemons)}, r.Daemons)...)
+	for _, stored := range c.reports {
+		for name, rates := range stored.RetryRates {
+			// The daemons of a group are assumed to want equally many.
+			if sum := c.fleetRates(name, now); sum.Wanted >= sum.Earned {
+				wanted[name] = append(wanted[name], slices.Repeat([]float64{rates.Wanted / float64(stored.Daemons)}, stored.Daemons)...)
 			}
 		}
 	}
-	for name, all := range wanted {
-		c.most[name] = repeats.FairCap(all, c.together(name, now).Earned)
+	for name, perDaemon := range wanted {
+		c.fairCaps[name] = repeats.FairCap(perDaemon, c.fleetRates(name, now).Earned)
 	}
 }
 
-// Services returns the mean fullness of each service's instances, and the slots of those that can be used.
-func (c *Collector) Services() (fullness, slots map[string]float64) {
-	fullness, slots = map[string]float64{}, map[string]float64{}
+// Services returns the mean saturation of each service's instances, and the number of their usable slots.
+func (c *Collector) Services() (saturation, slots map[string]float64) {
+	saturation, slots = map[string]float64{}, map[string]float64{}
 	for name, s := range c.services {
-		fullness[name] = s.Saturation / float64(s.Instances)
+		saturation[name] = s.Saturation / float64(s.Instances)
 		slots[name] = float64(s.Slots)
 	}
-	return fullness, slots
+	return saturation, slots
 }
 
-// Instances returns those whose slots are counted, by service and in the order of their hosts, so that sums over them are always the same.
-// A group's count as one on the host that speaks for it.
+// Instances returns the instances with usable slots, by service and in the order of their hosts, so that sums over them are always the
+// same. A group's instances count as one, on the host of the group's collector.
 func (c *Collector) Instances() map[string][]allot.Instance {
 	all := make(map[string][]allot.Instance, len(c.services))
-	for from, r := range c.reports {
-		for name, s := range r.Services {
+	for from, stored := range c.reports {
+		for name, s := range stored.Services {
 			if s.Slots > 0 {
 				all[name] = append(all[name], allot.Instance{Host: from.Addr(), Slots: float64(s.Slots)})
 			}
 		}
 	}
-	for _, of := range all {
-		slices.SortFunc(of, func(a, b allot.Instance) int { return a.Host.Compare(b.Host) })
+	for _, instances := range all {
+		slices.SortFunc(instances, func(a, b allot.Instance) int { return a.Host.Compare(b.Host) })
 	}
 	return all
 }
 
-// Daemons returns how many daemons the reports are of.
+// Daemons returns the number of daemons that the reports cover.
 func (c *Collector) Daemons() int { return c.daemons }
--- a/internal/fleet/demand/collector_bench_test.go
+++ b/internal/fleet/demand/collector_bench_test.go
@@ -10,29 +10,29 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/shed"
 )
 
-// BenchmarkBeat is one daemon's report with the answer to it, at a collector of so many daemons that beat each 300 ms.
-func BenchmarkBeat(b *testing.B) {
-	const services, lanes, gap = 4, 12, 300 * time.Millisecond
+// BenchmarkHeartbeat measures one daemon's report and the grants in the reply, at a collector of many daemons that report each 300 ms.
+func BenchmarkHeartbeat(b *testing.B) {
+	const services, classes, interval = 4, 12, 300 * time.Millisecond
 	for _, daemons := range []int{66, 300, 1000} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
 			c := New()
-			r := one("s0", 1.1, 40, 0)
-			r.RetryRates, r.Demand = map[string]repeats.Rates{}, nil
+			report := reportOf("s0", 1.1, 40, 0)
+			report.RetryRates, report.Demand = map[string]repeats.Rates{}, nil
 			for n := range services {
-				r.RetryRates[fmt.Sprint("s", n)] = repeats.Rates{Earned: 5, Wanted: 20}
+				report.RetryRates[fmt.Sprint("s", n)] = repeats.Rates{Earned: 5, Wanted: 20}
 			}
-			for n := range lanes {
-				r.Demand = append(r.Demand, shed.Rate{Class: shed.Class{Route: fmt.Sprint("r", n)}, PerSecond: 10})
+			for n := range classes {
+				report.Demand = append(report.Demand, shed.Rate{Class: shed.Class{Route: fmt.Sprint("r", n)}, PerSecond: 10})
 			}
-			each := gap / time.Duration(daemons)
+			pause := interval / time.Duration(daemons)
 			now := time.Unix(1000, 0)
 			n := 0
 			for b.Loop() {
-				now = now.Add(each)
+				now = now.Add(pause)
 				n++
 				from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n % daemons >> 8), byte(n % daemons)}), 1)
-				c.Update(from, false, r, now)
-				c.Grants(r.RetryRates, 1, now)
+				c.Update(from, false, report, now)
+				c.Grants(report.RetryRates, 1, now)
 			}
 		})
 	}
--- a/internal/fleet/demand/doc.go
+++ b/internal/fleet/demand/doc.go
@@ -1,3 +1,2 @@
-// Package demand sums up what all daemons are asked for, and what their
-// instances can do.
+// Package demand sums the demand that all daemons receive and the capacity of their instances.
 package demand
