--- a/internal/app/router/beats.go
+++ b/internal/app/router/beats.go
@@ -18,271 +18,272 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// reporter tell a collector, which is one of the daemons, what this daemon sees and knows, and learn what all see.
+// reporter sends heartbeats to a collector, which is one of the daemons, and applies the replies.
 //
-// Nothing between daemons lasts or has to agree: a collector that is gone is replaced by the next in an order that all daemons
-// compute alike, and has heard from everybody within one beat.
+// No state between daemons is persisted or needs consensus: an unreachable collector is replaced by the next one in an order that all
+// daemons compute alike, and has heartbeats of all daemons within one interval.
 type reporter struct {
 	router    *Router
 	collector *collect.Collector
-	now       chan struct{}
+	triggered chan struct{}
 	ctx       context.Context
 	cancel    context.CancelFunc
 	done      sync.WaitGroup
 
-	began time.Time
-	// beaten is when the daemon sent its last beat, in nanoseconds of the clock.
-	beaten atomic.Int64
-	layout atomic.Pointer[layout]
-	// settled tells that a collector's word on rates was heard; until then beats are as close as they may be.
+	startedAt time.Time
+	// lastHeartbeat is when the last heartbeat was sent, in Unix nanoseconds.
+	lastHeartbeat  atomic.Int64
+	cachedTopology atomic.Pointer[viewTopology]
+	// settled means that a plan with valid rate allocations was received; until then heartbeats are sent at the shortest interval.
 	settled bool
 
 	mu sync.Mutex
-	// gone are the hosts whose daemons leave or are silent, by the collector's last word, and silent how many of the latter.
-	gone   map[netip.Addr]bool
-	silent int
-	// avoided are collectors that did not answer, with when they are asked again.
-	avoided map[netip.Addr]time.Time
+	// unavailableHosts has the hosts whose daemons are leaving or missing according to the last reply; missing is the number of the latter.
+	unavailableHosts map[netip.Addr]bool
+	missing          int
+	// avoidedUntil has the collectors that did not reply, with the time from which they are tried again.
+	avoidedUntil map[netip.Addr]time.Time
 }
 
-// layout is that of a view.
-type layout struct {
+// viewTopology is the topology of a view's hosts.
+type viewTopology struct {
 	*collect.Topology
 	view *catalog.View
 }
 
 const (
-	// beatTime bounds one beat: a round trip between zones, and a lost packet.
-	beatTime = 400 * time.Millisecond
-	// avoidTime is how long a collector that did not answer is passed over.
-	avoidTime = 3 * time.Second
-	// earlyBeats is how many beats there may be at most in the usual gap between two.
-	earlyBeats = 3
-	// collectorsTried is how many are told at most in one beat, the first in the order and those behind it while it doesn't answer.
-	collectorsTried = 3
-	// readers is how many daemons follow the store, the first in the order of collectors. The others hear of changes with
-	// their next beat: each change would cost a call of every daemon otherwise.
-	readers = 3
+	// heartbeatTimeout bounds one heartbeat: a round trip between availability zones, and a lost packet.
+	heartbeatTimeout = 400 * time.Millisecond
+	// avoidTTL is how long a collector that did not reply is skipped.
+	avoidTTL = 3 * time.Second
+	// maxHeartbeatsPerInterval is the maximum number of heartbeats in one regular interval, early ones included.
+	maxHeartbeatsPerInterval = 3
+	// maxCollectorsTried is the maximum number of collectors that are tried for one heartbeat, in order, until one replies.
+	maxCollectorsTried = 3
+	// storeReaders is how many daemons follow the configuration store, the first ones in the order of collectors. The others learn of
+	// changes with their next heartbeat: otherwise each change would cost a store call by every daemon.
+	storeReaders = 3
 )
 
 func newReporter(r *Router) *reporter {
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &reporter{router: r, now: make(chan struct{}, 1), ctx: ctx, cancel: cancel, began: time.Now(), avoided: map[netip.Addr]time.Time{}}
-	b.collector = collect.New(b, r.settings.Without)
-	return b
+	rep := &reporter{router: r, triggered: make(chan struct{}, 1), ctx: ctx, cancel: cancel, startedAt: time.Now(), avoidedUntil: map[netip.Addr]time.Time{}}
+	rep.collector = collect.New(rep, r.settings.Without)
+	return rep
 }
 
-func (b *reporter) start() { b.done.Go(b.run) }
+func (r *reporter) start() { r.done.Go(r.run) }
 
-func (b *reporter) stop() {
-	b.cancel()
-	b.done.Wait()
+func (r *reporter) stop() {
+	r.cancel()
+	r.done.Wait()
 }
 
-// tell asks for a beat right now.
-func (b *reporter) tell() {
+// trigger requests a heartbeat right now.
+func (r *reporter) trigger() {
 	select {
-	case b.now <- struct{}{}:
+	case r.triggered <- struct{}{}:
 	default:
 	}
 }
 
-// soon asks for a beat before its time, though not for more than some between two.
-func (b *reporter) soon(now time.Time) {
-	if now.Sub(time.Unix(0, b.beaten.Load())) >= collect.Interval/earlyBeats {
-		b.tell()
+// triggerEarly requests a heartbeat before the interval is over, limited to maxHeartbeatsPerInterval.
+func (r *reporter) triggerEarly(now time.Time) {
+	if now.Sub(time.Unix(0, r.lastHeartbeat.Load())) >= collect.Interval/maxHeartbeatsPerInterval {
+		r.trigger()
 	}
 }
 
-func (b *reporter) run() {
-	for b.ctx.Err() == nil {
-		gap := collect.Interval
-		if l := b.laidOut(); l.Size() > 0 && b.beat(l) {
-			gap = collect.GroupInterval
+func (r *reporter) run() {
+	for r.ctx.Err() == nil {
+		interval := collect.Interval
+		if topology := r.topology(); topology.Size() > 0 && r.sendHeartbeat(topology) {
+			interval = collect.GroupInterval
 		}
-		if !b.settled {
-			gap = min(gap, collect.Interval/earlyBeats)
+		if !r.settled {
+			interval = min(interval, collect.Interval/maxHeartbeatsPerInterval)
 		}
 		select {
-		case <-b.ctx.Done():
-		case <-b.now:
-		case <-time.After(gap):
+		case <-r.ctx.Done():
+		case <-r.triggered:
+		case <-time.After(interval):
 		}
 	}
 }
 
-// laidOut returns the layout of the fleet as it is listed now.
-func (b *reporter) laidOut() *layout {
-	view := b.router.view.Load()
-	if l := b.layout.Load(); l != nil && l.view == view {
-		return l
+// topology returns the topology of the hosts that are listed now.
+func (r *reporter) topology() *viewTopology {
+	view := r.router.view.Load()
+	if cached := r.cachedTopology.Load(); cached != nil && cached.view == view {
+		return cached
 	}
 	instances := view.Instances()
 	hosts := make([]collect.Host, 0, len(instances))
-	for _, i := range instances {
-		hosts = append(hosts, collect.Host{Address: i.Address.Addr(), Zone: i.Zone})
+	for _, inst := range instances {
+		hosts = append(hosts, collect.Host{Address: inst.Address.Addr(), Zone: inst.Zone})
 	}
-	l := &layout{collect.NewTopology(hosts), view}
-	b.layout.Store(l)
-	return l
+	topology := &viewTopology{collect.NewTopology(hosts), view}
+	r.cachedTopology.Store(topology)
+	return topology
 }
 
-// beat tells the first collector that answers; true means that this daemon collects for a group.
-func (b *reporter) beat(l *layout) bool {
+// sendHeartbeat sends a heartbeat to the first collector that replies. It returns true if this daemon collects for a group.
+func (r *reporter) sendHeartbeat(topology *viewTopology) bool {
 	sent := time.Now()
-	b.beaten.Store(sent.UnixNano())
-	self := b.router.settings.Peers.Addr()
-	first := l.Group(self, collectorsTried, b.usable(sent))
-	collects := !l.Flat() && len(first) > 0 && first[0] == self
+	r.lastHeartbeat.Store(sent.UnixNano())
+	self := r.router.settings.Peers.Addr()
+	collectors := topology.Group(self, maxCollectorsTried, r.usable(sent))
+	collects := !topology.Flat() && len(collectors) > 0 && collectors[0] == self
 	if collects {
-		b.beatForGroup(l, sent)
+		r.sendGroupHeartbeat(topology, sent)
 	}
-	own := b.own(l.view, sent)
-	if len(first) > 0 && first[0] != self {
-		own.Heard = b.collector.Heard(sent)
+	hb := r.heartbeat(topology.view, sent)
+	if len(collectors) > 0 && collectors[0] != self {
+		hb.Heard = r.collector.Heard(sent)
 	}
-	for _, host := range first {
-		if back, ok := b.send(host, own); ok {
-			b.learn(host, own, back, sent)
+	for _, host := range collectors {
+		if reply, ok := r.send(host, hb); ok {
+			r.apply(host, hb, reply, sent)
 			break
 		}
 	}
 	return collects
 }
 
-// own is what this daemon tells of itself.
-func (b *reporter) own(view *catalog.View, now time.Time) collect.Heartbeat {
-	r := b.router
-	leaving := r.closed.Load()
-	seen, work := r.owner.tell(leaving, now)
-	out := collect.Heartbeat{
-		From: r.settings.Peers, Version: version(view), Revision: view.Revision, StoreAge: r.control.fresh.Age(now),
-		Up: now.Sub(b.began), Counts: r.quota.Report(now),
+// heartbeat builds this daemon's own heartbeat.
+func (r *reporter) heartbeat(view *catalog.View, now time.Time) collect.Heartbeat {
+	router := r.router
+	leaving := router.closedToPeers.Load()
+	service, work := router.executor.report(leaving, now)
+	hb := collect.Heartbeat{
+		From: router.settings.Peers, Version: version(view), Revision: view.Revision, StoreAge: router.control.fresh.Age(now),
+		Up: now.Sub(r.startedAt), Counts: router.quota.Report(now),
 		Report: demand.Report{
-			Daemons: 1, Services: map[string]demand.Service{r.settings.Service: seen}, Demand: r.shedder.Demand(now), RetryRates: r.repeats.Report(now),
+			Daemons: 1, Services: map[string]demand.Service{router.settings.Service: service}, Demand: router.shedder.Demand(now), RetryRates: router.repeats.Report(now),
 		},
-		Work: map[string]collect.Work{r.settings.Service: work}, Calls: r.owner.runs.Calls(),
+		Work: map[string]collect.Work{router.settings.Service: work}, Calls: router.executor.runs.Calls(),
 	}
 	if leaving {
-		out.Leaving = []netip.Addr{r.settings.Peers.Addr()}
+		hb.Leaving = []netip.Addr{router.settings.Peers.Addr()}
 	}
-	return out
+	return hb
 }
 
-// beatForGroup tells the fleet's collector of the group, unless that is this daemon.
-func (b *reporter) beatForGroup(l *layout, sent time.Time) {
-	all := collect.Heartbeat{
-		From: b.router.settings.Peers, Version: version(l.view), Revision: l.view.Revision, StoreAge: b.router.control.fresh.BestAge(sent),
+// sendGroupHeartbeat sends the group's heartbeat to the fleet's collector, unless that is this daemon.
+func (r *reporter) sendGroupHeartbeat(topology *viewTopology, sent time.Time) {
+	hb := collect.Heartbeat{
+		From: r.router.settings.Peers, Version: version(topology.view), Revision: topology.view.Revision, StoreAge: r.router.control.fresh.BestAge(sent),
 	}
-	for _, host := range l.Fleet(collectorsTried, b.usable(sent)) {
-		if host == b.router.settings.Peers.Addr() {
+	for _, host := range topology.Fleet(maxCollectorsTried, r.usable(sent)) {
+		if host == r.router.settings.Peers.Addr() {
 			return
 		}
-		if !all.Group {
-			b.collector.FillGroup(&all, l.Members(b.router.settings.Peers.Addr()), sent)
+		if !hb.Group {
+			r.collector.FillGroup(&hb, topology.Members(r.router.settings.Peers.Addr()), sent)
 		}
-		if back, ok := b.send(host, all); ok {
-			b.collector.Apply(back, sent)
-			b.collector.SetGrants(back.Grants, sent)
-			b.catchUp(host, all, back, sent)
+		if reply, ok := r.send(host, hb); ok {
+			r.collector.Apply(reply, sent)
+			r.collector.SetGrants(reply.Grants, sent)
+			r.fetchNewer(host, hb, reply, sent)
 			return
 		}
 	}
 }
 
-// send sends the beat to the daemon on the host, which is passed over for a while if it doesn't answer.
-func (b *reporter) send(host netip.Addr, own collect.Heartbeat) (collect.Reply, bool) {
-	if host == b.router.settings.Peers.Addr() {
-		return b.take(b.ctx, b.router.settings.Peers, own), true
+// send sends the heartbeat to the daemon on the host, which is skipped for a while if it doesn't reply.
+func (r *reporter) send(host netip.Addr, hb collect.Heartbeat) (collect.Reply, bool) {
+	if host == r.router.settings.Peers.Addr() {
+		return r.handle(r.ctx, r.router.settings.Peers, hb), true
 	}
-	ctx, cancel := context.WithTimeout(b.ctx, beatTime)
+	ctx, cancel := context.WithTimeout(r.ctx, heartbeatTimeout)
 	defer cancel()
-	back, err := peer.Call[collect.Heartbeat, collect.Reply](ctx, b.router.peers, b.router.peerOf(host), peer.KindBeat, own)
+	reply, err := peer.Call[collect.Heartbeat, collect.Reply](ctx, r.router.peers, r.router.peerOf(host), peer.KindBeat, hb)
 	if err != nil {
-		b.avoid(host, err)
+		r.avoid(host, err)
 	}
-	return back, err == nil
+	return reply, err == nil
 }
 
-// usable tells which hosts can be told, leaving out those that did not answer lately.
-func (b *reporter) usable(now time.Time) func(netip.Addr) bool {
+// usable returns a filter for hosts that can receive heartbeats: those that have not recently failed to reply.
+func (r *reporter) usable(now time.Time) func(netip.Addr) bool {
 	return func(host netip.Addr) bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return !now.Before(b.avoided[host])
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		return !now.Before(r.avoidedUntil[host])
 	}
 }
 
-func (b *reporter) avoid(host netip.Addr, err error) {
-	b.collector.DropPlan()
-	b.mu.Lock()
-	b.avoided[host] = time.Now().Add(avoidTime)
-	b.mu.Unlock()
-	if b.ctx.Err() == nil {
-		b.router.log.WithError(err).WithField("host", host.String()).Info("collector lost")
+func (r *reporter) avoid(host netip.Addr, err error) {
+	r.collector.DropPlan()
+	r.mu.Lock()
+	r.avoidedUntil[host] = time.Now().Add(avoidTTL)
+	r.mu.Unlock()
+	if r.ctx.Err() == nil {
+		r.router.log.WithError(err).WithField("host", host.String()).Info("collector lost")
 	}
 }
 
-// reads reports whether this daemon must follow the store itself: it is one of the readers, or hears nothing current from them.
-func (b *reporter) reads(now time.Time) bool {
-	return b.laidOut().Position(b.router.settings.Peers.Addr()) < readers || !b.router.control.fresh.Current(now)
+// followsStore reports whether this daemon must follow the configuration store itself: it is one of the readers, or receives nothing
+// current from them.
+func (r *reporter) followsStore(now time.Time) bool {
+	return r.topology().Position(r.router.settings.Peers.Addr()) < storeReaders || !r.router.control.fresh.Current(now)
 }
 
-// learn takes in what the collector answered.
-func (b *reporter) learn(host netip.Addr, own collect.Heartbeat, back collect.Reply, sent time.Time) {
-	made := sent.Add(-back.Plan.Age)
-	if host != b.router.settings.Peers.Addr() {
-		b.collector.Apply(back, sent)
-		b.catchUp(host, own, back, sent)
+// apply applies the collector's reply to this daemon's heartbeat.
+func (r *reporter) apply(host netip.Addr, hb collect.Heartbeat, reply collect.Reply, sent time.Time) {
+	planMadeAt := sent.Add(-reply.Plan.Age)
+	if host != r.router.settings.Peers.Addr() {
+		r.collector.Apply(reply, sent)
+		r.fetchNewer(host, hb, reply, sent)
 	}
-	b.settled = b.settled || back.Plan.Settled
-	if back.Plan.Settled {
-		b.router.quota.Apply(back.Plan.Rates, made)
+	r.settled = r.settled || reply.Plan.Settled
+	if reply.Plan.Settled {
+		r.router.quota.Apply(reply.Plan.Rates, planMadeAt)
 	}
-	without := b.router.settings.Without
-	if !without.Has(mechanism.Plan) {
-		b.router.shedder.Apply(back.Plan.Allocations, made)
+	disabled := r.router.settings.Without
+	if !disabled.Has(mechanism.Plan) {
+		r.router.shedder.Apply(reply.Plan.Allocations, planMadeAt)
 	}
-	if !without.Has(mechanism.LentRetries) {
-		b.router.repeats.Apply(back.Grants, own.Report.RetryRates, sent)
+	if !disabled.Has(mechanism.LentRetries) {
+		r.router.repeats.Apply(reply.Grants, hb.Report.RetryRates, sent)
 	}
-	b.router.metrics.Gauge(telemetry.WordAge).Update(time.Since(made).Seconds())
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.gone = make(map[netip.Addr]bool, len(back.Leaving)+len(back.Missing))
-	for _, h := range slices.Concat(back.Leaving, back.Missing) {
-		b.gone[h] = true
+	r.router.metrics.Gauge(telemetry.WordAge).Update(time.Since(planMadeAt).Seconds())
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.unavailableHosts = make(map[netip.Addr]bool, len(reply.Leaving)+len(reply.Missing))
+	for _, other := range slices.Concat(reply.Leaving, reply.Missing) {
+		r.unavailableHosts[other] = true
 	}
-	b.noteSilent(back.Missing)
+	r.logMissing(reply.Missing)
 }
 
-// catchUp takes in how fresh the collector's knowledge of the store is, and asks for what it knows beyond this daemon's.
-func (b *reporter) catchUp(host netip.Addr, own collect.Heartbeat, back collect.Reply, sent time.Time) {
-	b.router.control.fresh.ObserveCollector(sent, back.StoreAge)
-	if back.Version > own.Version || back.Revision > own.Revision {
-		b.router.control.fetch(b.router.peerOf(host))
+// fetchNewer records the age of the collector's snapshot of the store, and fetches what the collector has beyond this daemon's.
+func (r *reporter) fetchNewer(host netip.Addr, hb collect.Heartbeat, reply collect.Reply, sent time.Time) {
+	r.router.control.fresh.ObserveCollector(sent, reply.StoreAge)
+	if reply.Version > hb.Version || reply.Revision > hb.Revision {
+		r.router.control.fetch(r.router.peerOf(host))
 	}
 }
 
-// noteSilent logs how many daemons are silent when that changes.
-func (b *reporter) noteSilent(hosts []netip.Addr) {
-	if len(hosts) == b.silent {
+// logMissing logs the number of missing daemons when it changes.
+func (r *reporter) logMissing(hosts []netip.Addr) {
+	if len(hosts) == r.missing {
 		return
 	}
-	b.silent = len(hosts)
-	named := make([]string, 0, mostNamed)
-	for _, h := range hosts[:min(len(hosts), mostNamed)] {
-		named = append(named, h.String())
+	r.missing = len(hosts)
+	named := make([]string, 0, maxLoggedHosts)
+	for _, host := range hosts[:min(len(hosts), maxLoggedHosts)] {
+		named = append(named, host.String())
 	}
-	b.router.log.WithFields(logrus.Fields{"count": len(hosts), "hosts": named}).Info("daemons silent")
+	r.router.log.WithFields(logrus.Fields{"count": len(hosts), "hosts": named}).Info("daemons silent")
 }
 
-// mostNamed bounds the hosts in one log line.
-const mostNamed = 20
+// maxLoggedHosts bounds the hosts in one log line.
+const maxLoggedHosts = 20
 
-// away reports whether the daemon on the host has said that it leaves, or doesn't tell of itself any more.
-func (b *reporter) away(host netip.Addr) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.gone[host]
+// unavailable reports whether the daemon on the host is leaving or has missed heartbeats.
+func (r *reporter) unavailable(host netip.Addr) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.unavailableHosts[host]
 }
--- a/internal/app/router/collecting.go
+++ b/internal/app/router/collecting.go
@@ -11,39 +11,40 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/collect"
 )
 
-// take answers another daemon's beat.
-func (b *reporter) take(_ context.Context, _ netip.AddrPort, in collect.Heartbeat) collect.Reply {
+// handle replies to another daemon's heartbeat.
+func (r *reporter) handle(_ context.Context, _ netip.AddrPort, hb collect.Heartbeat) collect.Reply {
 	now := time.Now()
-	view := b.router.view.Load()
-	fleet := collect.Fleet{Daemons: len(view.Hosts()), Members: b.laidOut().Members(b.router.settings.Peers.Addr())}
+	view := r.router.view.Load()
+	fleet := collect.Fleet{Daemons: len(view.Hosts()), Members: r.topology().Members(r.router.settings.Peers.Addr())}
 	if view.Table != nil {
 		fleet.Shares = view.Table.Shares
 	}
-	if in.Version > version(view) || in.Revision > view.Revision {
-		b.router.control.later(in.From)
+	if hb.Version > version(view) || hb.Revision > view.Revision {
+		r.router.control.fetchLater(hb.From)
 	} else {
-		b.router.control.fresh.ObserveReader(now, in.StoreAge)
+		r.router.control.fresh.ObserveReader(now, hb.StoreAge)
 	}
-	out := b.collector.Handle(in, fleet, now)
-	out.Version, out.Revision, out.StoreAge = version(view), view.Revision, b.storeAge(now)
-	return out
+	reply := r.collector.Handle(hb, fleet, now)
+	reply.Version, reply.Revision, reply.StoreAge = version(view), view.Revision, r.storeAge(now)
+	return reply
 }
 
-// storeAge is how old what this daemon knows of the store is: by its own reading or another reader's, or by the collector that it hears.
-func (b *reporter) storeAge(now time.Time) time.Duration {
-	own := b.router.control.fresh.BestAge(now)
-	if b.laidOut().Flat() {
-		return own
+// storeAge returns the age of this daemon's information from the configuration store: as read by itself or another reader, or as reported
+// by its collector.
+func (r *reporter) storeAge(now time.Time) time.Duration {
+	age := r.router.control.fresh.BestAge(now)
+	if r.topology().Flat() {
+		return age
 	}
-	return min(own, b.router.control.fresh.CollectorAge(now))
+	return min(age, r.router.control.fresh.CollectorAge(now))
 }
 
-// Planned logs a plan that turns requests away.
-func (b *reporter) Planned(shortages []allot.Shortage, lanes int) {
-	b.router.log.WithFields(logrus.Fields{"shortages": shortages, "lanes": lanes}).Info("plan")
+// Planned logs a plan that sheds load.
+func (r *reporter) Planned(shortages []allot.Shortage, classes int) {
+	r.router.log.WithFields(logrus.Fields{"shortages": shortages, "lanes": classes}).Info("plan")
 }
 
-// Leaves logs that a daemon is about to end.
-func (b *reporter) Leaves(host netip.Addr) {
-	b.router.log.WithField("host", host.String()).Info("daemon leaves")
+// Leaves logs that a daemon is shutting down.
+func (r *reporter) Leaves(host netip.Addr) {
+	r.router.log.WithField("host", host.String()).Info("daemon leaves")
 }
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -17,38 +17,38 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// control is the one thread that owns the catalog; it publishes views for the traffic threads.
+// control owns the catalog, which only its goroutine touches, and publishes views for the goroutines that serve requests.
 type control struct {
 	router  *Router
 	source  Source
 	catalog *catalog.Catalog
-	// lastTrouble is when the store last failed to answer for a while.
-	lastTrouble time.Time
-	fresh       fresh.State
-	asks        chan func()
-	// wanted are daemons that know something newer.
-	wanted chan netip.AddrPort
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	// lastOutage is the latest time at which the configuration store was known to be in an outage.
+	lastOutage time.Time
+	fresh      fresh.State
+	tasks      chan func()
+	// fetchQueue holds the address of a daemon that reported something newer.
+	fetchQueue chan netip.AddrPort
+	ctx        context.Context
+	cancel     context.CancelFunc
+	done       sync.WaitGroup
 }
 
 const (
-	// lookEvery is how often the control thread looks at the clock.
-	lookEvery = 200 * time.Millisecond
-	// fetchTime bounds a question to another daemon.
-	fetchTime = 400 * time.Millisecond
+	// tickInterval is how often the control goroutine does periodic work.
+	tickInterval = 200 * time.Millisecond
+	// fetchTimeout bounds a fetch from another daemon.
+	fetchTimeout = 400 * time.Millisecond
 )
 
 func newControl(r *Router, source Source) *control {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &control{router: r, source: source, catalog: catalog.New(), asks: make(chan func()), wanted: make(chan netip.AddrPort, 1), ctx: ctx, cancel: cancel}
+	return &control{router: r, source: source, catalog: catalog.New(), tasks: make(chan func()), fetchQueue: make(chan netip.AddrPort, 1), ctx: ctx, cancel: cancel}
 }
 
 func (c *control) start() {
 	c.done.Go(c.run)
 	c.done.Go(c.watch)
-	c.done.Go(c.fetchWanted)
+	c.done.Go(c.fetchQueued)
 }
 
 func (c *control) stop() {
@@ -57,30 +57,30 @@
 }
 
 func (c *control) run() {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
-		case ask := <-c.asks:
-			ask()
+		case task := <-c.tasks:
+			task()
 		case now := <-ticker.C:
 			if c.catalog.Expire(now) {
 				c.publish(now)
-				c.tell("lapsed")
+				c.logCatalog("lapsed")
 			}
-			c.router.owner.instance.Sweep(now)
+			c.router.executor.instance.Sweep(now)
 			c.router.callers.EndIdle(now)
 		}
 	}
 }
 
-// ask runs f on the control thread and waits for it; false means that the thread has ended.
-func (c *control) ask(f func()) bool {
+// do runs f on the control goroutine and waits for it; false means that the goroutine has ended.
+func (c *control) do(f func()) bool {
 	done := make(chan struct{})
 	select {
-	case c.asks <- func() { f(); close(done) }:
+	case c.tasks <- func() { f(); close(done) }:
 		<-done
 		return true
 	case <-c.ctx.Done():
@@ -88,109 +88,110 @@
 	}
 }
 
-// fetch takes over what another daemon knows beyond this one.
+// fetch applies what another daemon has beyond this one.
 func (c *control) fetch(from netip.AddrPort) {
-	if got, ok := c.request(from, fetchTime); ok {
-		c.offer(got.Changes, from.String())
+	if reply, ok := c.requestChanges(from, fetchTimeout); ok {
+		c.applyChanges(reply.Changes, from.String())
 	}
 }
 
-// request asks another daemon for what it knows beyond this one.
-func (c *control) request(from netip.AddrPort, limit time.Duration) (fetched, bool) {
+// requestChanges asks another daemon for what it has beyond this one.
+func (c *control) requestChanges(from netip.AddrPort, limit time.Duration) (fetchReply, bool) {
 	view := c.router.view.Load()
 	ctx, cancel := context.WithTimeout(c.ctx, limit)
 	defer cancel()
-	got, err := peer.Call[fetch, fetched](ctx, c.router.peers, from, peer.KindChanges, fetch{Version: version(view), Revision: view.Revision})
+	reply, err := peer.Call[fetchRequest, fetchReply](ctx, c.router.peers, from, peer.KindChanges, fetchRequest{Version: version(view), Revision: view.Revision})
 	if err != nil {
 		c.router.log.WithError(err).WithField("from", from.String()).Debug("fetch")
 	}
-	return got, err == nil
+	return reply, err == nil
 }
 
-// later asks another daemon soon; while a question is going on, its answer may have the same.
-func (c *control) later(from netip.AddrPort) {
+// fetchLater queues a fetch from another daemon. It drops the fetch if one is queued already, whose reply may have the same.
+func (c *control) fetchLater(from netip.AddrPort) {
 	select {
-	case c.wanted <- from:
+	case c.fetchQueue <- from:
 	default:
 	}
 }
 
-func (c *control) fetchWanted() {
+func (c *control) fetchQueued() {
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
-		case from := <-c.wanted:
+		case from := <-c.fetchQueue:
 			c.fetch(from)
 		}
 	}
 }
 
-func version(v *catalog.View) uint64 {
-	if v.Table == nil {
+func version(view *catalog.View) uint64 {
+	if view.Table == nil {
 		return 0
 	}
-	return v.Table.Version()
+	return view.Table.Version()
 }
 
-func (c *control) takeFetch(_ context.Context, _ netip.AddrPort, f fetch) fetched {
+func (c *control) handleFetch(_ context.Context, _ netip.AddrPort, req fetchRequest) fetchReply {
 	now := time.Now()
-	out := fetched{StoreAge: min(c.fresh.Age(now), c.fresh.CollectorAge(now))}
-	c.ask(func() {
-		out.Changes = c.catalog.Since(f.Version, f.Revision, now)
-		out.Whole = c.catalog.Version() > 0 && len(c.catalog.Instances()) > 0
+	reply := fetchReply{StoreAge: min(c.fresh.Age(now), c.fresh.CollectorAge(now))}
+	c.do(func() {
+		reply.Changes = c.catalog.Since(req.Version, req.Revision, now)
+		reply.Whole = c.catalog.Version() > 0 && len(c.catalog.Instances()) > 0
 	})
-	return out
+	return reply
 }
 
-// storeName is the store among those from whom changes come. What other daemons have dropped is gone: they have waited.
+// storeName names the configuration store as the sender of changes. Only its removals get a grace period after an outage: what other
+// daemons have removed is gone, since they have waited.
 const storeName = "store"
 
-// offer takes changes into the catalog and publishes what they change.
-func (c *control) offer(ch catalog.Changes, from string) {
-	c.ask(func() {
+// applyChanges adds changes to the catalog and publishes the result.
+func (c *control) applyChanges(changes catalog.Changes, from string) {
+	c.do(func() {
 		now := time.Now()
-		back := time.Time{}
-		if from == storeName && !c.lastTrouble.IsZero() {
-			back = c.lastTrouble.Add(catalog.ReturnTime)
+		graceEnd := time.Time{}
+		if from == storeName && !c.lastOutage.IsZero() {
+			graceEnd = c.lastOutage.Add(catalog.ReturnTime)
 		}
-		out := c.catalog.Offer(ch, now, back)
-		for _, e := range ch.Entries {
-			if e.Fault != "" {
-				c.router.log.WithFields(logrus.Fields{"key": e.Key, "revision": e.Revision, "fault": e.Fault}).Warn("entry not used")
+		outcome := c.catalog.Offer(changes, now, graceEnd)
+		for _, entry := range changes.Entries {
+			if entry.Fault != "" {
+				c.router.log.WithFields(logrus.Fields{"key": entry.Key, "revision": entry.Revision, "fault": entry.Fault}).Warn("entry not used")
 			}
 		}
-		if out.Rejected != nil {
-			c.router.log.WithError(out.Rejected).WithField("revision", ch.Revision).Error("configuration rejected")
+		if outcome.Rejected != nil {
+			c.router.log.WithError(outcome.Rejected).WithField("revision", changes.Revision).Error("configuration rejected")
 		}
-		if len(out.Faults) > 0 {
+		if len(outcome.Faults) > 0 {
 			c.router.log.WithFields(logrus.Fields{
-				"version": c.catalog.Version(), "count": len(out.Faults), "faults": out.Faults[:min(len(out.Faults), mostFaultsTold)],
+				"version": c.catalog.Version(), "count": len(outcome.Faults), "faults": outcome.Faults[:min(len(outcome.Faults), maxLoggedFaults)],
 			}).Warn("configuration with faults")
 		}
-		if out.Configured || out.Instances {
+		if outcome.Configured || outcome.Instances {
 			c.publish(now)
-			c.tell(from)
+			c.logCatalog(from)
 		}
-		if out.Configured {
+		if outcome.Configured {
 			c.configure()
 		}
-		if out.Configured && from == storeName {
-			// Daemons that the store turns away have it from the collector, which may be one of them.
-			c.router.beats.tell()
+		if outcome.Configured && from == storeName {
+			// Daemons that the store refuses get the configuration from the collector, which may be refused itself.
+			c.router.reporter.trigger()
 		}
 	})
 }
 
-// mostFaultsTold bounds the log line on a configuration of which much is faulty.
-const mostFaultsTold = 20
+// maxLoggedFaults bounds the faults in one log line on a faulty configuration.
+const maxLoggedFaults = 20
 
-// tell logs what the daemon believes now, and from whom it has it.
-func (c *control) tell(from string) {
+// logCatalog logs the state of the catalog and the sender of the last change.
+func (c *control) logCatalog(from string) {
 	draining := []string{}
-	for _, i := range c.catalog.Instances() {
-		if i.Draining {
-			draining = append(draining, i.ID)
+	for _, inst := range c.catalog.Instances() {
+		if inst.Draining {
+			draining = append(draining, inst.ID)
 		}
 	}
 	c.router.log.WithFields(logrus.Fields{
@@ -198,35 +199,35 @@
 	}).Info("catalog")
 }
 
-// publish makes the catalog's state the one that traffic sees.
+// publish makes the catalog's current state visible to the goroutines that serve requests.
 func (c *control) publish(now time.Time) {
 	r := c.router
-	v := c.catalog.View(r.view.Load())
-	r.view.Store(v)
-	r.chooser.SetInstances(c.catalog.Instances(), now)
-	own, known := v.At(r.settings.Instance)
-	r.owner.observe(own, known)
-	daemons := len(v.Hosts())
+	view := c.catalog.View(r.view.Load())
+	r.view.Store(view)
+	r.balancer.SetInstances(c.catalog.Instances(), now)
+	own, known := view.At(r.settings.Instance)
+	r.executor.setInstance(own, known)
+	daemons := len(view.Hosts())
 	r.quota.SetDaemons(daemons)
 	r.repeats.SetDaemons(daemons)
-	r.metrics.Gauge(telemetry.ListVersion).Update(float64(version(v)))
+	r.metrics.Gauge(telemetry.ListVersion).Update(float64(version(view)))
 }
 
 func (c *control) configure() {
 	rates := map[string]quota.Rate{}
-	for _, o := range c.catalog.Config().Organisations {
-		rates[o.Name] = rateOf(o)
+	for _, organisation := range c.catalog.Config().Organisations {
+		rates[organisation.Name] = rateOf(organisation)
 	}
 	c.router.quota.Configure(rates)
-	c.router.beats.collector.Configure(rates)
+	c.router.reporter.collector.Configure(rates)
 	limits := c.catalog.Config().Limits
 	c.router.callers.Bound(httpd.Bounds{
 		HeadBytes: limits.HeadBytes, HeadTime: limits.HeadTime, BodyBytes: limits.BodyBytes, IdleTime: limits.IdleTimeout,
 	})
 }
 
-func rateOf(o routing.Organisation) quota.Rate {
-	return quota.Rate{PerSecond: o.Rate, Burst: max(o.Burst, 1)}
+func rateOf(organisation routing.Organisation) quota.Rate {
+	return quota.Rate{PerSecond: organisation.Rate, Burst: max(organisation.Burst, 1)}
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/app/router/doc.go
+++ b/internal/app/router/doc.go
@@ -1,3 +1,3 @@
-// Package router is a daemon that serves routes: it takes the requests of the
-// callers on its host, picks an instance for each, and runs what others send to the instance beside it.
+// Package router is the daemon that runs next to each instance: it takes the requests of the callers on its host, picks an instance for
+// each, and runs what other daemons send to the local instance.
 package router
--- a/internal/app/router/ending_test.go
+++ b/internal/app/router/ending_test.go
@@ -9,11 +9,11 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-func TestWhoseFailureItIs(t *testing.T) {
-	// Guards against driving work away from instances that are well because a service below them fails.
-	Convey("A failure speaks against the instance unless a call of its run failed", t, func() {
-		So(ending(runResult{Outcome: call.Whole, Status: 500}, nil), ShouldEqual, choice.Failed)
-		So(ending(runResult{Outcome: call.Whole, Status: 500, CallFailed: true}, nil), ShouldEqual, choice.Withdrawn)
-		So(ending(runResult{Outcome: call.Whole, Status: 200}, nil), ShouldEqual, choice.Served)
+func TestSubcallFailuresAreNotHeldAgainstTheInstance(t *testing.T) {
+	// Guards against driving requests away from healthy instances because a service that they call fails.
+	Convey("A failure counts against the instance unless a sub-call of the run failed", t, func() {
+		So(sendResult(runResult{Outcome: call.Whole, Status: 500}, nil), ShouldEqual, choice.Failed)
+		So(sendResult(runResult{Outcome: call.Whole, Status: 500, SubcallFailed: true}, nil), ShouldEqual, choice.Withdrawn)
+		So(sendResult(runResult{Outcome: call.Whole, Status: 200}, nil), ShouldEqual, choice.Served)
 	})
 }
--- a/internal/app/router/front.go
+++ b/internal/app/router/front.go
@@ -18,10 +18,10 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/httpd"
 )
 
-// request is one caller's request on its way through this daemon.
+// request is a request of a caller, or of the instance on this host, at its ingress daemon.
 type request struct {
 	id           string
-	begun        time.Time
+	arrivedAt    time.Time
 	route        *routing.Route
 	service      string
 	organisation string
@@ -30,165 +30,166 @@
 	httpHost     string
 	header       http.Header
 	body         []byte
-	// deadline is when the caller, or the operator for it, stops waiting.
+	// deadline is when the caller, or the operator on its behalf, stops waiting.
 	deadline time.Time
-	// priority is that of the caller's request which a nested one is for.
+	// priority is that of the caller's request; a sub-call inherits it.
 	priority call.Priority
-	nested   bool
-	// root is the route of the caller's request that a nested one is for, its own for others.
+	subcall  bool
+	// root is the route of the caller's request; a sub-call inherits it.
 	root string
-	// parent is the run of the instance on this host that a nested request belongs to, as far as known.
-	parent *lineage.Run
-	repeat bool
-	rank   shed.Rank
-	shed   shed.Decision
-	quota  quota.Decision
-	trail  attempts
-	// fullness and callRefused are what the offers brought back: see runResult.
-	fullness    float64
-	callRefused bool
+	// parent is the run on this host's instance that made the sub-call, as far as it is known.
+	parent   *lineage.Run
+	retry    bool
+	rank     shed.Rank
+	shed     shed.Decision
+	quota    quota.Decision
+	attempts attempts
+	// saturation and subcallRefused combine the results of the attempts: see runResult.
+	saturation     float64
+	subcallRefused bool
 }
 
 // serve answers one request of a caller or of the instance on this host.
 func (r *Router) serve(w http.ResponseWriter, in *http.Request) {
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
-	q := &request{begun: httpd.Arrived(in.Context()), method: in.Method, target: in.RequestURI, httpHost: in.Host}
-	answer, ok := r.admit(q, in)
+	req := &request{arrivedAt: httpd.Arrived(in.Context()), method: in.Method, target: in.RequestURI, httpHost: in.Host}
+	answer, ok := r.admit(req, in)
 	if ok {
-		ctx, cancel := context.WithDeadline(in.Context(), q.deadline)
-		answer = r.place(ctx, q)
-		r.report(q, answer)
+		ctx, cancel := context.WithDeadline(in.Context(), req.deadline)
+		answer = r.dispatch(ctx, req)
+		r.recordFeedback(req, answer)
 		cancel()
-		if answer.Outcome == call.NotRun && q.organisation != "" {
-			r.quota.Refund(q.organisation, q.quota)
+		if answer.Outcome == call.NotRun && req.organisation != "" {
+			r.quota.Refund(req.organisation, req.quota)
 		}
 	}
-	r.conclude(q, answer)
-	r.write(w, q, answer)
+	r.recordRequest(req, answer)
+	r.write(w, req, answer)
 }
 
-// defaultTimeout holds for a request of which neither the caller nor the operator says how long it may take.
+// defaultTimeout applies to a request for which neither the caller nor the operator sets a timeout.
 const defaultTimeout = 30 * time.Second
 
-// admit finds the request's route, organisation and time, and lets it in if there is room for it; false comes with the refusal.
-func (r *Router) admit(q *request, in *http.Request) (call.Answer, bool) {
+// admit determines the request's route, organisation and deadline and checks its admission; false comes with the refusal.
+func (r *Router) admit(req *request, in *http.Request) (call.Answer, bool) {
 	head, err := r.heads.Caller(in.Header)
-	q.id = head.RequestID
-	if q.id == "" {
-		q.id = uuid.NewString()
+	req.id = head.RequestID
+	if req.id == "" {
+		req.id = uuid.NewString()
 	}
 	if err != nil {
 		return call.Refuse(call.BadRequest, 0), false
 	}
-	if refusal, ok := r.recognise(q, in, head); !ok {
+	if refusal, ok := r.recognise(req, in, head); !ok {
 		return refusal, false
 	}
-	if q.body, err = readBody(in); err != nil {
+	if req.body, err = readBody(in); err != nil {
 		return call.Refuse(call.BadRequest, 0), false
 	}
-	q.header = forwardable(in.Header)
-	if r.endsBefore(q) {
-		return call.Refuse(call.Draining, notReadyWait), false
+	req.header = removeConnectionHeaders(in.Header)
+	if r.stopsBefore(req) {
+		return call.Refuse(call.Draining, notReadyRetryAfter), false
 	}
-	if q.nested {
-		q.adopt(r.owner.runs.Parent(q.route.Name, q.begun.Add(head.Timeout)))
+	if req.subcall {
+		req.inherit(r.executor.runs.Parent(req.route.Name, req.arrivedAt.Add(head.Timeout)))
 	}
-	return r.letIn(q)
+	return r.checkAdmission(req)
 }
 
-// recognise finds the request's route and whose it is.
-func (r *Router) recognise(q *request, in *http.Request, head CallerHead) (call.Answer, bool) {
+// recognise determines the request's route and organisation.
+func (r *Router) recognise(req *request, in *http.Request, head CallerHead) (call.Answer, bool) {
 	table := r.view.Load().Table
 	if table == nil {
-		return call.Refuse(call.NotReady, notReadyWait), false
+		return call.Refuse(call.NotReady, notReadyRetryAfter), false
 	}
 	route, ok := table.Match(in.Host, in.URL.Path)
 	if !ok {
 		return call.Refuse(call.UnknownOperation, 0), false
 	}
 	if route.Fault != "" {
-		return call.Refuse(call.NotReady, faultyRouteWait), false
+		return call.Refuse(call.NotReady, faultyRouteRetryAfter), false
 	}
 	organisation, ok := identify(table, route, head.Key)
 	if !ok {
 		return call.Refuse(call.UnknownKey, 0), false
 	}
 	if organisation != nil {
-		q.organisation = organisation.Name
+		req.organisation = organisation.Name
 	}
-	q.route, q.root = route, route.Name
-	q.service = r.splitter.Pick(route)
-	q.deadline = q.begun.Add(patience(head.Timeout, route.Timeout))
-	q.nested = organisation == nil && table.Keyed()
-	q.rank = rank(route, organisation)
-	q.priority = priority(table.RelativeRank(route, organisation))
+	req.route, req.root = route, route.Name
+	req.service = r.splitter.Pick(route)
+	req.deadline = req.arrivedAt.Add(effectiveTimeout(head.Timeout, route.Timeout))
+	req.subcall = organisation == nil && table.Keyed()
+	req.rank = rank(route, organisation)
+	req.priority = priority(table.RelativeRank(route, organisation))
 	return call.Answer{}, true
 }
 
-// letIn holds a caller's request to its organisation's rate, and turns it away while a service that it needs is full. Calls of
-// running requests pass: refused, the work of their parents would be lost.
-func (r *Router) letIn(q *request) (call.Answer, bool) {
-	if q.nested {
+// checkAdmission enforces the organisation's rate limit on a caller's request, then sheds the request while a service that it needs is
+// overloaded. Sub-calls always pass: if they were shed, the work on their parents would be wasted.
+func (r *Router) checkAdmission(req *request) (call.Answer, bool) {
+	if req.subcall {
 		return call.Answer{}, true
 	}
-	if q.organisation != "" {
-		q.quota = r.quota.Admit(q.organisation, q.begun)
-		if q.quota.Surge {
-			r.beats.soon(q.begun)
+	if req.organisation != "" {
+		req.quota = r.quota.Admit(req.organisation, req.arrivedAt)
+		if req.quota.Surge {
+			r.reporter.triggerEarly(req.arrivedAt)
 		}
-		if !q.quota.Admitted {
-			return call.Refuse(call.OverRate, q.quota.RetryAfter), false
+		if !req.quota.Admitted {
+			return call.Refuse(call.OverRate, req.quota.RetryAfter), false
 		}
 	}
-	if q.shed = r.shedder.Admit(q.lane(), q.route.Target, q.begun); !q.shed.Admitted {
-		r.quota.Refund(q.organisation, q.quota)
-		return call.Refuse(call.Overloaded, q.shed.RetryAfter), false
+	if req.shed = r.shedder.Admit(req.class(), req.route.Target, req.arrivedAt); !req.shed.Admitted {
+		r.quota.Refund(req.organisation, req.quota)
+		return call.Refuse(call.Overloaded, req.shed.RetryAfter), false
 	}
 	return call.Answer{}, true
 }
 
-func (q *request) lane() shed.Class {
-	return shed.Class{Route: q.root, Service: q.service, Rank: q.rank}
+func (req *request) class() shed.Class {
+	return shed.Class{Route: req.root, Service: req.service, Rank: req.rank}
 }
 
-// adopt takes over what a nested request inherits from the run that it belongs to.
-func (q *request) adopt(parent *lineage.Run) {
+// inherit copies to a sub-call what it takes over from its parent run.
+func (req *request) inherit(parent *lineage.Run) {
 	if parent == nil {
 		return
 	}
-	q.parent, q.root, q.repeat, q.priority = parent, parent.Root, parent.Retry, parent.Priority
+	req.parent, req.root, req.retry, req.priority = parent, parent.Root, parent.Retry, parent.Priority
 }
 
-// report tells those above the request how full the services on its way were: the front, or the run that made the call.
-func (r *Router) report(q *request, a call.Answer) {
+// recordFeedback reports the saturation of the services on the request's way to the shedder, or to the run that made the sub-call.
+func (r *Router) recordFeedback(req *request, answer call.Answer) {
 	switch {
-	case q.parent != nil:
-		q.parent.Observe(q.service, q.fullness, q.callRefused)
-		if a.Reason != call.Cancelled && (a.Outcome != call.Whole || a.Status >= statusFailed) {
-			r.owner.runs.CallFailed(q.parent, q.route.Name, time.Now())
+	case req.parent != nil:
+		req.parent.Observe(req.service, req.saturation, req.subcallRefused)
+		if answer.Reason != call.Cancelled && (answer.Outcome != call.Whole || answer.Status >= statusFailed) {
+			r.executor.runs.CallFailed(req.parent, req.route.Name, time.Now())
 		}
-	case !q.nested:
-		r.shedder.Observe(q.lane(), q.fullness, q.callRefused, time.Now())
+	case !req.subcall:
+		r.shedder.Observe(req.class(), req.saturation, req.subcallRefused, time.Now())
 	}
 }
 
-// notReadyWait is when to come back to a daemon that knows no configuration yet; it reads it within some hundred milliseconds.
-const notReadyWait = 300 * time.Millisecond
+// notReadyRetryAfter is the Retry-After of a daemon without a configuration; it reads one within several hundred milliseconds.
+const notReadyRetryAfter = 300 * time.Millisecond
 
-// faultyRouteWait is when to come back to a route that can't be served; the operator's next version may mend it.
-const faultyRouteWait = time.Second
+// faultyRouteRetryAfter is the Retry-After of a route that can't be served; the operator's next version may fix it.
+const faultyRouteRetryAfter = time.Second
 
-// identify returns the organisation that holds the key; nil where none is needed, and false where one is missing.
-func identify(t *routing.Table, route *routing.Route, key string) (*routing.Organisation, bool) {
-	if organisation, ok := t.Authenticate(key); ok {
+// identify returns the organisation that holds the key. It returns nil if the route needs no organisation, and false if a required key is
+// missing or unknown.
+func identify(table *routing.Table, route *routing.Route, key string) (*routing.Organisation, bool) {
+	if organisation, ok := table.Authenticate(key); ok {
 		return organisation, true
 	}
-	return nil, route.Public || !t.Keyed()
+	return nil, route.Public || !table.Keyed()
 }
 
-// patience is how long the request may take: as long as its caller waits, and as the operator wants it kept waiting.
-func patience(caller, operator time.Duration) time.Duration {
+// effectiveTimeout returns how long a request may take: the lower of the caller's and the operator's timeout, where 0 means none.
+func effectiveTimeout(caller, operator time.Duration) time.Duration {
 	switch {
 	case caller == 0 && operator == 0:
 		return defaultTimeout
@@ -201,15 +202,15 @@
 	}
 }
 
-// priority turns a request's standing among all into one of the queue's, of which the last is kept for calls.
-func priority(standing float64) call.Priority {
-	return call.Interactive - call.Priority(min(int(standing*callersPriorities), callersPriorities-1))
+// priority maps a request's relative rank to a priority of the queue. The highest priority, call.Nested, is reserved for sub-calls.
+func priority(relativeRank float64) call.Priority {
+	return call.Interactive - call.Priority(min(int(relativeRank*callerPriorities), callerPriorities-1))
 }
 
-// callersPriorities is how many priorities the queue has for callers' requests.
-const callersPriorities = 3
+// callerPriorities is the number of queue priorities for callers' requests.
+const callerPriorities = 3
 
-// rank is that of the organisation, if it has one of its own, and behind it that of the route.
+// rank returns the rank of a request: that of its organisation, if it is configured, and then that of its route.
 func rank(route *routing.Route, organisation *routing.Organisation) shed.Rank {
 	if organisation != nil && organisation.Ranked {
 		return shed.Rank{Organisation: organisation.Rank, Route: route.Rank}
@@ -217,7 +218,7 @@
 	return shed.Rank{Organisation: route.Rank, Route: route.Rank}
 }
 
-// readBody takes a request's body over in one piece of its size.
+// readBody reads a request's body into one allocation of its exact size, if that is known.
 func readBody(in *http.Request) ([]byte, error) {
 	if in.Body == nil {
 		return nil, nil
@@ -231,55 +232,56 @@
 	return body, err
 }
 
-// oneConnection are headers that concern only the connection on which they come, or that this daemon sets itself.
-var oneConnection = []string{
+// connectionHeaders are headers that concern only the connection on which they arrive, or that this daemon sets itself.
+var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Host",
 }
 
-// forwardable removes the headers that concern only the caller's connection, and those that it names as such.
-func forwardable(h http.Header) http.Header {
-	for _, value := range h.Values("Connection") {
+// removeConnectionHeaders removes the headers that concern only one connection, and those that its Connection header names as such.
+func removeConnectionHeaders(header http.Header) http.Header {
+	for _, value := range header.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
-			h.Del(strings.TrimSpace(name))
+			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range oneConnection {
-		h.Del(name)
+	for _, name := range connectionHeaders {
+		header.Del(name)
 	}
-	return h
+	return header
 }
 
-// write sends the answer to the caller: an instance's as it is, any other with what tells the caller when to come back.
-func (r *Router) write(w http.ResponseWriter, q *request, a call.Answer) {
+// write sends the response to the caller: an instance's response as it is, any other with a body and headers that state the Retry-After
+// delay.
+func (r *Router) write(w http.ResponseWriter, req *request, answer call.Answer) {
 	h := w.Header()
-	if a.Outcome == call.Whole {
-		for name, values := range forwardable(a.Header) {
+	if answer.Outcome == call.Whole {
+		for name, values := range removeConnectionHeaders(answer.Header) {
 			h[name] = values
 		}
 	} else {
-		r.heads.Refuse(h, q.id, a.RetryAfter)
+		r.heads.Refuse(h, req.id, answer.RetryAfter)
 		h.Set("Content-Type", "application/json")
-		a.Body = refusalBody(q.id, a)
+		answer.Body = refusalBody(req.id, answer)
 	}
-	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	w.WriteHeader(status(a))
-	_, _ = w.Write(a.Body)
+	h.Set("Content-Length", strconv.Itoa(len(answer.Body)))
+	w.WriteHeader(status(answer))
+	_, _ = w.Write(answer.Body)
 }
 
-// status is the answer's status. A request that did not run for want of time gets 503: 504 promises nothing, and its
-// caller would have to find out what became of a payment that was never begun.
-func status(a call.Answer) int {
-	if a.Outcome == call.NotRun && a.Status == http.StatusGatewayTimeout {
+// status returns the response's HTTP status. A request that did not run for lack of time gets 503: 504 guarantees nothing, so the caller
+// would have to find out whether, say, a payment was made that never started.
+func status(answer call.Answer) int {
+	if answer.Outcome == call.NotRun && answer.Status == http.StatusGatewayTimeout {
 		return http.StatusServiceUnavailable
 	}
-	return a.Status
+	return answer.Status
 }
 
-// refuseFault answers a request that was refused before it was whole.
-func (r *Router) refuseFault(f httpd.Fault) (int, http.Header, []byte) {
+// refuseFault returns the response to a request that was refused before it was fully received.
+func (r *Router) refuseFault(fault httpd.Fault) (int, http.Header, []byte) {
 	refusal := call.Refuse(call.BadRequest, 0)
-	switch f {
+	switch fault {
 	case httpd.HeadTooLarge:
 		refusal = call.Refuse(call.TooLarge, 0)
 		refusal.Status = http.StatusRequestHeaderFieldsTooLarge
@@ -292,7 +294,7 @@
 		refusal.Status = http.StatusRequestTimeout
 	case httpd.Malformed:
 	}
-	r.refusedEarly(f, refusal)
+	r.recordEarlyRefusal(fault, refusal)
 	header := http.Header{}
 	r.heads.Refuse(header, "", refusal.RetryAfter)
 	return refusal.Status, header, refusalBody("", refusal)
--- a/internal/app/router/leave.go
+++ b/internal/app/router/leave.go
@@ -9,23 +9,25 @@
 )
 
 const (
-	// noticeTime is how long callers are served on as before after the order to leave. The platform asks for health once a
-	// second and sends callers elsewhere after two misses; cut off before, they would lose requests.
-	noticeTime = 2300 * time.Millisecond
-	// closeTime is how long the instance is used on after the order to leave. It is well, and while its daemon restarts its
-	// service is short of it: of three instances, a third of what the service can do. Others hear of the end within a beat.
-	closeTime = 1900 * time.Millisecond
-	// quietTime is how long no request must have been at work before the process ends: one may be on its way.
-	quietTime = 300 * time.Millisecond
-	// lastTime is kept of the time to leave for closing what is open: the callers' port, the peers' connections, and what ends beside them.
-	lastTime  = httpd.StopSlack + peersTime + exitTime
-	peersTime = 250 * time.Millisecond
-	exitTime  = 300 * time.Millisecond
-	// stopLook is how often a leaving daemon looks whether requests are at work.
-	stopLook = 20 * time.Millisecond
+	// noticePeriod is how long callers are served as usual after the order to shut down. The platform checks health once a second and sends
+	// callers to other hosts after two failed checks; if they were cut off earlier, they would lose requests.
+	noticePeriod = 2300 * time.Millisecond
+	// instanceUsePeriod is how long other daemons may still use the instance after the order to shut down. The instance is healthy, and its
+	// service lacks it while its daemon restarts: with three instances, a third of the service's capacity. Other daemons learn of the
+	// shutdown within a heartbeat.
+	instanceUsePeriod = 1900 * time.Millisecond
+	// quietPeriod is how long no request must have been in flight before the process ends: one may be on its way.
+	quietPeriod = 300 * time.Millisecond
+	// shutdownReserve is the part of the leave time that is reserved for closing the callers' port and the peers' connections and for the
+	// end of the process.
+	shutdownReserve = httpd.StopSlack + peersReserve + exitReserve
+	peersReserve    = 250 * time.Millisecond
+	exitReserve     = 300 * time.Millisecond
+	// quietPollInterval is how often a leaving daemon checks whether requests are in flight.
+	quietPollInterval = 20 * time.Millisecond
 )
 
-// serveHealth tells whether callers can be sent here.
+// serveHealth reports whether callers can be sent to this daemon.
 func (r *Router) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case r.leaving.Load():
@@ -37,47 +39,47 @@
 	}
 }
 
-// closing reports whether callers are told to connect elsewhere.
+// closing reports whether callers are told to connect to another host.
 func (r *Router) closing() bool { return r.leaving.Load() }
 
-// endsBefore reports whether the process is likely to end before the request does. Callers have had time to go elsewhere by
-// then; one that still comes is better told so at once than cut in the middle.
-func (r *Router) endsBefore(q *request) bool {
+// stopsBefore reports whether the process is likely to end before the request does. By then callers have had time to move to other hosts;
+// one that still sends requests is better refused at once than cut off while the request runs.
+func (r *Router) stopsBefore(req *request) bool {
 	if !r.leaving.Load() {
 		return false
 	}
-	begun := time.Unix(0, r.left.Load())
-	return q.begun.Sub(begun) > noticeTime && q.deadline.After(begun.Add(r.settings.LeaveTime-lastTime))
+	leftAt := time.Unix(0, r.leftAt.Load())
+	return req.arrivedAt.Sub(leftAt) > noticePeriod && req.deadline.After(leftAt.Add(r.settings.LeaveTime-shutdownReserve))
 }
 
-// stop leaves: health says so at once, callers are served until they have had time to go elsewhere, other daemons
-// are told to send nothing more for the instance, and the process ends when nothing is at work any more or its time is up.
+// stop shuts the daemon down. Health reports it at once, callers are served until they have had time to move to other hosts, other daemons
+// are told to send no more requests for the instance, and the process ends when no request is in flight or its time is up.
 func (r *Router) stop() {
-	begun := time.Now()
-	end := begun.Add(r.settings.LeaveTime - lastTime)
+	leftAt := time.Now()
+	end := leftAt.Add(r.settings.LeaveTime - shutdownReserve)
 	r.log.WithField("inFlight", r.inFlight.Load()).Info("leaving")
-	r.left.Store(begun.UnixNano())
+	r.leftAt.Store(leftAt.UnixNano())
 	r.leaving.Store(true)
-	time.Sleep(min(closeTime, time.Until(end)))
-	r.closed.Store(true)
-	r.beats.tell()
-	time.Sleep(min(noticeTime-closeTime, time.Until(end)))
-	quiet := time.Now()
-	for now := time.Now(); now.Before(end) && now.Sub(quiet) < quietTime; now = time.Now() {
+	time.Sleep(min(instanceUsePeriod, time.Until(end)))
+	r.closedToPeers.Store(true)
+	r.reporter.trigger()
+	time.Sleep(min(noticePeriod-instanceUsePeriod, time.Until(end)))
+	lastBusy := time.Now()
+	for now := time.Now(); now.Before(end) && now.Sub(lastBusy) < quietPeriod; now = time.Now() {
 		if r.inFlight.Load() > 0 {
-			quiet = now
+			lastBusy = now
 		}
-		time.Sleep(stopLook)
+		time.Sleep(quietPollInterval)
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	if err := r.callers.Stop(ctx); err != nil {
 		r.log.WithError(err).Warn("callers' port")
 	}
-	r.beats.stop()
+	r.reporter.stop()
 	r.control.stop()
 	r.peers.Stop()
-	r.owner.stop()
+	r.executor.stop()
 	r.metrics.Close()
 	r.log.WithField("inFlight", r.inFlight.Load()).Info("stopped")
 }
--- a/internal/app/router/leave_test.go
+++ b/internal/app/router/leave_test.go
@@ -11,26 +11,26 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/httpd"
 )
 
-func TestTimeToLeave(t *testing.T) {
-	// Guards against a daemon that is killed while it closes its ports: the steps after the last request took up to 1.25 s of
-	// the half second that was kept for them.
-	Convey("What is kept of the time to leave holds the longest close of the callers' port, and callers have their notice before", t, func() {
+func TestShutdownReserve(t *testing.T) {
+	// Guards against a daemon that is killed while it closes its ports: the steps after the last request took up to 1.25 s, and
+	// half a second was reserved for them.
+	Convey("The shutdown reserve covers the longest close of the callers' port, and leaves callers their notice period", t, func() {
 		const leaveTime = 6 * time.Second
-		// Guards against steps that add up to just what is kept for them: the process was killed at its last one.
-		So(lastTime-httpd.StopSlack-peersTime, ShouldBeGreaterThan, 200*time.Millisecond)
-		So(leaveTime-lastTime, ShouldBeGreaterThan, noticeTime+quietTime)
+		// Guards against steps that take exactly what is reserved for them: the process was killed at the last one.
+		So(shutdownReserve-httpd.StopSlack-peersReserve, ShouldBeGreaterThan, 200*time.Millisecond)
+		So(leaveTime-shutdownReserve, ShouldBeGreaterThan, noticePeriod+quietPeriod)
 	})
 }
 
-func TestSlotsOfADaemonThatLeaves(t *testing.T) {
-	// Guards against a fleet that begins as much as before while an instance's daemon is restarted and nothing is sent to the instance.
-	Convey("An instance whose daemon leaves has no slots", t, func() {
-		o := newExecutor(Settings{}, nil)
-		defer o.stop()
-		o.observe(routing.Instance{ID: "i", Slots: 20}, true)
-		staying, _ := o.tell(false, time.Now())
+func TestLeavingDaemonReportsNoSlots(t *testing.T) {
+	// Guards against a fleet that admits as much as before while an instance's daemon restarts and nothing is sent to the instance.
+	Convey("An instance whose daemon is leaving reports no slots", t, func() {
+		e := newExecutor(Settings{}, nil)
+		defer e.stop()
+		e.setInstance(routing.Instance{ID: "i", Slots: 20}, true)
+		staying, _ := e.report(false, time.Now())
 		So(staying.Slots, ShouldEqual, 19)
-		leaving, _ := o.tell(true, time.Now())
+		leaving, _ := e.report(true, time.Now())
 		So(leaving.Slots, ShouldEqual, 0)
 	})
 }
--- a/internal/app/router/message.go
+++ b/internal/app/router/message.go
@@ -9,12 +9,12 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/catalog"
 )
 
-// runRequest hands a request on to the daemon beside the chosen instance.
+// runRequest hands a request to the daemon on the chosen instance's host.
 type runRequest struct {
 	RequestID string              `msgpack:"requestId"`
 	Instance  routing.Incarnation `msgpack:"instance"`
 	Route     string              `msgpack:"route"`
-	// Root is the route of the caller's request that this is for.
+	// Root is the route of the caller's request that this request is made for.
 	Root          string        `msgpack:"root"`
 	CallerService string        `msgpack:"callerService"`
 	Organisation  string        `msgpack:"organisation"`
@@ -27,13 +27,13 @@
 	// Priority is that of the caller's request.
 	Priority   call.Priority `msgpack:"priority"`
 	Idempotent bool          `msgpack:"idempotent"`
-	// Nested means that an instance makes the request while it runs another.
-	Nested bool `msgpack:"nested"`
-	// Repeat means that the request was sent to an instance before, or is called by one that was.
-	Repeat bool `msgpack:"repeat"`
+	// Subcall means that an instance makes the request while it runs another.
+	Subcall bool `msgpack:"nested"`
+	// Retry means that the request was sent to an instance before, or is a sub-call of a retry.
+	Retry bool `msgpack:"repeat"`
 }
 
-// runResult is the answer to run.
+// runResult is the reply to a runRequest.
 type runResult struct {
 	Outcome    call.Outcome  `msgpack:"outcome"`
 	Reason     call.Reason   `msgpack:"reason"`
@@ -44,26 +44,27 @@
 	Load       call.Load     `msgpack:"load"`
 	// Arrived means that the request reached the instance, whether or not it ran.
 	Arrived bool `msgpack:"arrived"`
-	// Saturation is the part of its slots that the fullest service on the request's way had in use, above 1 by how long requests wait.
+	// Saturation is the highest saturation of a service on the request's way; see demand.Service.
 	Saturation float64 `msgpack:"fullness"`
-	// CallRefused means that a call of the request was refused for a full service.
-	CallRefused bool `msgpack:"callRefused"`
-	// CallFailed means that a call of the request failed.
-	CallFailed bool `msgpack:"callFailed"`
+	// SubcallRefused means that a sub-call of the request was refused because of a saturated service.
+	SubcallRefused bool `msgpack:"callRefused"`
+	// SubcallFailed means that a sub-call of the request failed.
+	SubcallFailed bool `msgpack:"callFailed"`
 	// Waited is how long the request waited for a slot.
 	Waited time.Duration `msgpack:"waited"`
 }
 
-// fetch asks another daemon for what is newer than this.
-type fetch struct {
+// fetchRequest asks another daemon for everything newer than the given version and revision.
+type fetchRequest struct {
 	Version  uint64 `msgpack:"version"`
 	Revision uint64 `msgpack:"revision"`
 }
 
-// fetched is the answer to fetch.
-type fetched struct {
+// fetchReply is the reply to a fetchRequest.
+type fetchReply struct {
 	Changes catalog.Changes `msgpack:"changes"`
-	// Whole means that the daemon knows a configuration and instances, and StoreAge is how long ago it or its collector heard from the store.
+	// Whole means that the daemon has a configuration and instances, StoreAge is the age of its or its collector's information from the
+	// store.
 	Whole    bool          `msgpack:"whole"`
 	StoreAge time.Duration `msgpack:"storeAge"`
 }
--- a/internal/app/router/operators.go
+++ b/internal/app/router/operators.go
@@ -7,7 +7,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Status is what /statusz tells of a router.
+// Status is the JSON that /statusz returns.
 type Status struct {
 	Host        string    `json:"host"`
 	Zone        string    `json:"zone"`
@@ -34,8 +34,8 @@
 	view := r.view.Load()
 	raw, err := json.MarshalIndent(Status{
 		Host: r.settings.Host, Zone: r.settings.Zone, Service: r.settings.Service, Version: version(view), Revision: view.Revision,
-		Hosts: len(view.Hosts()), Leaving: r.leaving.Load(), InFlight: r.inFlight.Load(), Gate: r.owner.load(),
-		Connections: r.peers.Connections(), Opened: r.owner.instance.Opened(),
+		Hosts: len(view.Hosts()), Leaving: r.leaving.Load(), InFlight: r.inFlight.Load(), Gate: r.executor.load(),
+		Connections: r.peers.Connections(), Opened: r.executor.instance.Opened(),
 	}, "", "  ")
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/app/router/owner.go
+++ b/internal/app/router/owner.go
@@ -21,230 +21,234 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/instance"
 )
 
-// executor runs requests on the instance beside the daemon, as many at once as it has slots.
+// executor runs requests on the instance on this host, with a concurrency limit of its slots.
 type executor struct {
 	heads    Heads
 	instance *instance.Client
 
 	runs *lineage.Runs
-	// drainTime is within how long nothing new may reach an instance that leaves.
+	// drainTime is the time after which an instance that has started to drain must receive no new requests.
 	drainTime time.Duration
-	without   mechanism.Set
+	disabled  mechanism.Set
 
 	mu      sync.Mutex
 	current routing.Instance
 	known   bool
 	gate    *admission.Gate
-	// fullSum and fullCount are of what requests found since the last beat.
-	fullSum   float64
-	fullCount int
-	// held is for how long requests of each route have held slots since the last beat.
-	held map[string]allot.HoldTime
-	// seen and wasted count what reached the instance and what has to be sent again, since the last beat.
-	seen, wasted int
-	// lost is when the instance last took no connection; zero once it has answered since.
-	lost time.Time
-	// leaves is when the instance was first known to leave; zero while it stays.
-	leaves time.Time
+	// saturationSum and saturationCount sum what requests observed at their arrival since the last heartbeat.
+	saturationSum   float64
+	saturationCount int
+	// holdTimes says how long requests of each route have held slots since the last heartbeat.
+	holdTimes map[string]allot.HoldTime
+	// delivered counts the requests that reached the instance since the last heartbeat, retryable those of them that must be retried.
+	delivered, retryable int
+	// unreachableAt is when the instance last accepted no connection; zero once it has responded since.
+	unreachableAt time.Time
+	// leavingSince is when the instance was first known to be draining; zero while it isn't.
+	leavingSince time.Time
 }
 
 const (
-	// unknownSlots holds until the instance's own word is there.
-	unknownSlots = 16
-	// queueTime bounds the wait for a slot. Longer than the time between two starts on a full instance, so that its slots
-	// never stand empty, and short enough to try another instance within the time that callers find good.
-	queueTime = 250 * time.Millisecond
-	// answerTime is kept of a request's time for the answer's way back.
-	answerTime = 10 * time.Millisecond
-	// goneWait is when to come back where the instance can't be reached.
-	goneWait = 500 * time.Millisecond
+	// defaultSlots applies until the instance's own number of slots is known.
+	defaultSlots = 16
+	// maxQueueWait bounds the wait for a slot. It is longer than the time between two starts on a saturated instance, so that its slots
+	// never stay empty, and short enough to try another instance within the time that callers accept.
+	maxQueueWait = 250 * time.Millisecond
+	// responseReserve is reserved from a request's time for the response's way back.
+	responseReserve = 10 * time.Millisecond
+	// unreachableRetryAfter is the Retry-After if the instance can't be reached.
+	unreachableRetryAfter = 500 * time.Millisecond
 )
 
-func newExecutor(s Settings, heads Heads) *executor {
-	o := &executor{heads: heads, instance: instance.New(s.Instance), runs: lineage.New(), drainTime: s.DrainTime, without: s.Without, held: map[string]allot.HoldTime{}}
-	o.gate = newGate(unknownSlots)
-	return o
+func newExecutor(settings Settings, heads Heads) *executor {
+	e := &executor{heads: heads, instance: instance.New(settings.Instance), runs: lineage.New(), drainTime: settings.DrainTime, disabled: settings.Without, holdTimes: map[string]allot.HoldTime{}}
+	e.gate = newGate(defaultSlots)
+	return e
 }
 
 func newGate(slots int) *admission.Gate {
-	return admission.New(limit.NewFixed(max(int(float64(slots)*slotsPart), 1)), admission.WithWait(queueTime))
+	return admission.New(limit.NewFixed(max(int(float64(slots)*usableSlotFraction), 1)), admission.WithWait(maxQueueWait))
 }
 
-// slotsPart is the part of the slots that is used: some instances slow down when nearly all are taken, by more than the rest could do.
-const slotsPart = 0.95
+// usableSlotFraction is the fraction of the slots that is used: some instances slow down when nearly all slots are in use, by more than the
+// remaining slots would add.
+const usableSlotFraction = 0.95
 
-// observe takes in what is published of the instance on this host; another start of it begins with an empty gate.
-func (o *executor) observe(i routing.Instance, known bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// setInstance applies what is published of the instance on this host. A new incarnation starts with an empty gate.
+func (e *executor) setInstance(inst routing.Instance, known bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	if !known {
-		o.known = false
+		e.known = false
 		return
 	}
 	switch {
-	case !i.Draining:
-		o.leaves = time.Time{}
-	case o.leaves.IsZero():
-		o.leaves = time.Now()
+	case !inst.Draining:
+		e.leavingSince = time.Time{}
+	case e.leavingSince.IsZero():
+		e.leavingSince = time.Now()
 	}
-	if !o.known || o.current.Incarnation() != i.Incarnation() || o.current.Slots != i.Slots {
-		o.gate = newGate(max(i.Slots, 1))
+	if !e.known || e.current.Incarnation() != inst.Incarnation() || e.current.Slots != inst.Slots {
+		e.gate = newGate(max(inst.Slots, 1))
 	}
-	o.current, o.known = i, true
+	e.current, e.known = inst, true
 }
 
-// closed reports whether nothing new may be sent to the instance any more, since it has been leaving for a while. Requests
-// that were sent here before others knew, or have waited here, would reach it in its last moments.
-func (o *executor) closed(now time.Time) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return !o.leaves.IsZero() && now.Sub(o.leaves) > o.drainTime/2
+// closedForDrain reports whether the instance has been draining for so long that it must receive no new requests. Requests that were sent
+// before other daemons knew, or that waited in the queue, would reach it in its last moments.
+func (e *executor) closedForDrain(now time.Time) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return !e.leavingSince.IsZero() && now.Sub(e.leavingSince) > e.drainTime/2
 }
 
-// admits returns the gate for requests to the start of the instance, or false if another is known to be here by now.
-func (o *executor) admits(i routing.Incarnation) (*admission.Gate, bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.known && o.current.Incarnation() != i {
-		return o.gate, false
+// gateFor returns the gate for requests to the incarnation of the instance, or false if another incarnation is known to run on this host.
+func (e *executor) gateFor(incarnation routing.Incarnation) (*admission.Gate, bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.known && e.current.Incarnation() != incarnation {
+		return e.gate, false
 	}
-	return o.gate, true
+	return e.gate, true
 }
 
-func (o *executor) load() call.Load {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.gate.Load()
+func (e *executor) load() call.Load {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.gate.Load()
 }
 
-func (o *executor) stop() { o.instance.Close() }
+func (e *executor) stop() { e.instance.Close() }
 
-// run runs the request on the instance, or refuses it before the instance has seen it.
-func (o *executor) run(ctx context.Context, m *runRequest) runResult {
-	begun := time.Now()
-	gate, ok := o.admits(m.Instance)
+// run runs the request on the instance, or refuses it before it reaches the instance.
+func (e *executor) run(ctx context.Context, req *runRequest) runResult {
+	arrived := time.Now()
+	gate, ok := e.gateFor(req.Instance)
 	if !ok {
-		return refused(call.Refuse(call.NoUpstream, goneWait), gate.Load())
+		return refusedResult(call.Refuse(call.NoUpstream, unreachableRetryAfter), gate.Load())
 	}
-	deadline := begun.Add(m.Remaining - min(answerTime, m.Remaining/10))
-	t := o.ticket(m, deadline)
-	full := gate.Fullness(waitUnit)
-	o.found(full)
-	if d := gate.Enter(ctx, t); d.Verdict != admission.Run {
+	deadline := arrived.Add(req.Remaining - min(responseReserve, req.Remaining/10))
+	ticket := e.ticket(req, deadline)
+	saturation := gate.Fullness(waitUnit)
+	e.recordSaturation(saturation)
+	if decision := gate.Enter(ctx, ticket); decision.Verdict != admission.Run {
 		if errors.Is(ctx.Err(), context.Canceled) {
-			d.Reason = call.Cancelled
+			decision.Reason = call.Cancelled
 		}
-		out := refused(call.Refuse(d.Reason, d.RetryAfter), gate.Load())
-		out.Saturation = full
-		return out
+		res := refusedResult(call.Refuse(decision.Reason, decision.RetryAfter), gate.Load())
+		res.Saturation = saturation
+		return res
 	}
 	started := time.Now()
-	if o.closed(started) {
-		gate.Settle(started, t, admission.Result{Withdrawn: true})
-		return refused(call.Refuse(call.NoUpstream, goneWait), gate.Load())
+	if e.closedForDrain(started) {
+		gate.Settle(started, ticket, admission.Result{Withdrawn: true})
+		return refusedResult(call.Refuse(call.NoUpstream, unreachableRetryAfter), gate.Load())
 	}
-	out := o.execute(ctx, m, deadline)
-	out.Waited = started.Sub(begun)
+	res := e.execute(ctx, req, deadline)
+	res.Waited = started.Sub(arrived)
 	now := time.Now()
-	gate.Settle(now, t, result(out, now.Sub(started)))
-	o.ended(m, out, now.Sub(started), now)
-	out.Load = gate.Load()
-	out.Saturation = max(out.Saturation, full)
-	return out
+	gate.Settle(now, ticket, gateResult(res, now.Sub(started)))
+	e.recordRun(req, res, now.Sub(started), now)
+	res.Load = gate.Load()
+	res.Saturation = max(res.Saturation, saturation)
+	return res
 }
 
-// ticket is the request's place in the queue. A call goes before callers' requests of its own priority, since the work that was done
-// for it would be lost, and not before those of a higher one: a map that takes one slot for a moment would wait behind the
-// calls of all lookups.
-func (o *executor) ticket(m *runRequest, deadline time.Time) *admission.Ticket {
-	t := &admission.Ticket{Organisation: m.Organisation, Operation: m.Route, Weight: 1, Priority: m.Priority, Deadline: deadline}
-	if m.Nested {
-		t.Priority++
-		if o.without.Has(mechanism.RankedSubcalls) {
-			t.Priority = call.Nested
+// ticket returns the request's ticket for the queue. A sub-call takes precedence over callers' requests of its own priority, since
+// otherwise the work done for its parent would be wasted, but not over those of a higher one: otherwise a short high-priority request would
+// wait behind the sub-calls of all others.
+func (e *executor) ticket(req *runRequest, deadline time.Time) *admission.Ticket {
+	ticket := &admission.Ticket{Organisation: req.Organisation, Operation: req.Route, Weight: 1, Priority: req.Priority, Deadline: deadline}
+	if req.Subcall {
+		ticket.Priority++
+		if e.disabled.Has(mechanism.RankedSubcalls) {
+			ticket.Priority = call.Nested
 		}
-		t.Weight = nestedWeight
-		t.Patience = time.Duration(float64(m.Remaining) * nestedPatience)
+		ticket.Weight = subcallWeight
+		ticket.Patience = time.Duration(float64(req.Remaining) * subcallWaitFraction)
 	}
-	return t
+	return ticket
 }
 
-// nestedWeight is the share of calls, which name no organisation, against that of one organisation's requests of the same place.
-const nestedWeight = 8
+// subcallWeight is the fair-queueing weight of all sub-calls, which carry no organisation, against 1 for one organisation's requests of the
+// same priority.
+const subcallWeight = 8
 
-// found takes in how full the instance was when a request came.
-func (o *executor) found(full float64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.fullSum += full
-	o.fullCount++
+// recordSaturation records the instance's saturation at a request's arrival.
+func (e *executor) recordSaturation(saturation float64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.saturationSum += saturation
+	e.saturationCount++
 }
 
-// ended takes in for how long a request has held a slot, whether it has to be sent again, and whether the instance is there.
-func (o *executor) ended(m *runRequest, out runResult, took time.Duration, now time.Time) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if out.Arrived {
-		o.seen++
+// recordRun records how long a request held a slot, whether it must be retried, and whether the instance can be reached.
+func (e *executor) recordRun(req *runRequest, res runResult, held time.Duration, now time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if res.Arrived {
+		e.delivered++
 	}
-	if out.wasted(m.Idempotent) {
-		o.wasted++
+	if res.retryable(req.Idempotent) {
+		e.retryable++
 	}
 	switch {
-	case out.Reason == call.NoUpstream:
-		o.lost = now
+	case res.Reason == call.NoUpstream:
+		e.unreachableAt = now
 		return
-	case out.Reason == call.UpstreamShed:
+	case res.Reason == call.UpstreamShed:
 		return
-	case out.Outcome == call.Whole:
-		o.lost = time.Time{}
+	case res.Outcome == call.Whole:
+		e.unreachableAt = time.Time{}
 	}
-	h := o.held[m.Route]
-	o.held[m.Route] = allot.HoldTime{Route: m.Route, Seconds: h.Seconds + took.Seconds(), Count: h.Count + 1}
+	total := e.holdTimes[req.Route]
+	e.holdTimes[req.Route] = allot.HoldTime{Route: req.Route, Seconds: total.Seconds + held.Seconds(), Count: total.Count + 1}
 }
 
-// wasted reports whether the request reached the instance in vain and may be sent once more.
-func (out *runResult) wasted(idempotent bool) bool {
+// retryable reports whether the request reached the instance without a useful result and may be retried.
+func (res *runResult) retryable(idempotent bool) bool {
 	switch {
-	case out.Reason == call.UpstreamShed:
+	case res.Reason == call.UpstreamShed:
 		return true
 	case !idempotent:
 		return false
-	case out.Reason == call.AnswerLost:
+	case res.Reason == call.AnswerLost:
 		return true
 	default:
-		return out.Outcome == call.Whole && out.Status == statusFailed && !out.CallFailed
+		return res.Outcome == call.Whole && res.Status == statusFailed && !res.SubcallFailed
 	}
 }
 
-// lostTime is how long an instance that took no connection counts as having no slots: requests find out whether it is back.
-const lostTime = time.Second
-
-// tell returns what is seen of the instance: how full requests found it, its slots that can be used, which are none where
-// the daemon leaves, and for how long requests have held them and how many came to nothing since the last time.
-func (o *executor) tell(leaving bool, now time.Time) (demand.Service, collect.Work) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	seen := demand.Service{Instances: 1, Saturation: o.gate.Fullness(waitUnit)}
-	if o.fullCount > 0 {
-		seen.Saturation = o.fullSum / float64(o.fullCount)
+// unreachableTTL is how long an instance that accepted no connection counts as having no slots: after it, requests find out whether the
+// instance is back.
+const unreachableTTL = time.Second
+
+// report returns what was observed of the instance since the last call: its saturation at requests' arrival, its usable slots, which are
+// none if the daemon is leaving, and the hold times and delivery counts of its requests.
+func (e *executor) report(leaving bool, now time.Time) (demand.Service, collect.Work) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	service := demand.Service{Instances: 1, Saturation: e.gate.Fullness(waitUnit)}
+	if e.saturationCount > 0 {
+		service.Saturation = e.saturationSum / float64(e.saturationCount)
 	}
-	if o.known && !leaving && o.leaves.IsZero() && now.Sub(o.lost) > lostTime {
-		seen.Slots = o.gate.Load().Limit
+	if e.known && !leaving && e.leavingSince.IsZero() && now.Sub(e.unreachableAt) > unreachableTTL {
+		service.Slots = e.gate.Load().Limit
 	}
-	work := collect.Work{HoldTimes: slices.Collect(maps.Values(o.held)), Delivered: o.seen, Retryable: o.wasted}
-	o.fullSum, o.fullCount, o.seen, o.wasted = 0, 0, 0, 0
-	clear(o.held)
-	return seen, work
+	work := collect.Work{HoldTimes: slices.Collect(maps.Values(e.holdTimes)), Delivered: e.delivered, Retryable: e.retryable}
+	e.saturationSum, e.saturationCount, e.delivered, e.retryable = 0, 0, 0, 0
+	clear(e.holdTimes)
+	return service, work
 }
 
-// nestedPatience is the part of the time left that a call of a running request may wait: refused, its parent's work is lost.
-const nestedPatience = 0.6
+// subcallWaitFraction is the fraction of the remaining time that a sub-call may wait for a slot: if it is refused, its parent's work is
+// wasted.
+const subcallWaitFraction = 0.6
 
-// waitUnit is the wait for a slot that counts as much as all slots: a chain of ten calls may wait for half a second in all,
-// and callers find answers good that take some times that.
+// waitUnit is the expected wait for a slot that raises saturation by 1: a chain of ten sub-calls may wait for half a second in total, and
+// callers accept response times of several times that.
 const waitUnit = 50 * time.Millisecond
 
-func refused(a call.Answer, load call.Load) runResult {
-	return runResult{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Load: load}
+func refusedResult(answer call.Answer, load call.Load) runResult {
+	return runResult{Outcome: answer.Outcome, Reason: answer.Reason, Status: answer.Status, RetryAfter: answer.RetryAfter, Load: load}
 }
--- a/internal/app/router/place.go
+++ b/internal/app/router/place.go
@@ -15,63 +15,64 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// noInstanceWait is when to come back to a service without any instance that can be reached: a started one is listed within seconds.
-const noInstanceWait = 500 * time.Millisecond
-
-// place offers the request to instances of its service until one has run it or may have, or nothing is left to try.
-func (r *Router) place(ctx context.Context, q *request) call.Answer {
-	r.account(q)
-	course := offers.New(q.route.Attempts, offers.Without(r.settings.Without))
-	last := call.Refuse(call.NoUpstream, noInstanceWait)
-	for course.CanRetry() {
+// noInstanceRetryAfter is the Retry-After of a service without a reachable instance: an instance that has started is listed within seconds.
+const noInstanceRetryAfter = 500 * time.Millisecond
+
+// dispatch sends the request to instances of its service until one has run it, or may have, or no attempt is left.
+func (r *Router) dispatch(ctx context.Context, req *request) call.Answer {
+	r.updateRetryBudget(req)
+	tracker := offers.New(req.route.Attempts, offers.Without(r.settings.Without))
+	last := call.Refuse(call.NoUpstream, noInstanceRetryAfter)
+	for tracker.CanRetry() {
 		now := time.Now()
-		if ctx.Err() != nil || !now.Before(q.deadline) {
-			return overdue(ctx, last)
+		if ctx.Err() != nil || !now.Before(req.deadline) {
+			return deadlineAnswer(ctx, last)
 		}
-		if course.Delivered() && !r.repeats.Spend(q.service, q.priority, now) {
+		if tracker.Delivered() && !r.repeats.Spend(req.service, req.priority, now) {
 			return last
 		}
-		from, behind := course.Candidates(r.candidates(q.service))
-		i, ok := r.chooser.Pick(from, behind, q.deadline.Sub(now), now)
+		candidates, lastResort := tracker.Candidates(r.candidates(req.service))
+		inst, ok := r.balancer.Pick(candidates, lastResort, req.deadline.Sub(now), now)
 		if !ok {
 			return last
 		}
-		q.repeat = q.repeat || course.Delivered()
-		done := r.offer(ctx, q, i)
-		course.Record(i.ID, done.ending, done.arrived)
-		last = final(last, done.answer)
-		if !r.goesOn(q, done) {
+		req.retry = req.retry || tracker.Delivered()
+		result := r.attempt(ctx, req, inst)
+		tracker.Record(inst.ID, result.sendResult, result.arrived)
+		last = lastingAnswer(last, result.answer)
+		if !r.mayRetry(req, result) {
 			return last
 		}
 	}
 	return last
 }
 
-// final is the answer after a further offer. Where an earlier instance has run the request or may have, one that declines it changes
-// nothing: passed on, its caller would be told that nothing was run.
-func final(before, next call.Answer) call.Answer {
-	if before.Outcome != call.NotRun && next.Outcome == call.NotRun {
-		return before
+// lastingAnswer returns the response after a further attempt. If an earlier instance has run the request or may have, it keeps that
+// response over a refusal: otherwise the caller would learn that nothing was run.
+func lastingAnswer(previous, next call.Answer) call.Answer {
+	if previous.Outcome != call.NotRun && next.Outcome == call.NotRun {
+		return previous
 	}
 	return next
 }
 
-// account counts the request for its service: as one that repeats are earned with, or as a repeat that was decided on elsewhere.
-func (r *Router) account(q *request) {
-	if q.repeat {
-		r.repeats.Charge(q.service, q.begun)
+// updateRetryBudget counts the request for its service: a first attempt earns budget, and a sub-call of a retry is charged to it, since
+// another daemon decided on that retry.
+func (r *Router) updateRetryBudget(req *request) {
+	if req.retry {
+		r.repeats.Charge(req.service, req.arrivedAt)
 		return
 	}
-	r.repeats.Earn(q.service, q.begun)
+	r.repeats.Earn(req.service, req.arrivedAt)
 }
 
-// candidates returns the service's instances without those whose daemon leaves or is silent, unless there are no others.
+// candidates returns the service's instances without those whose daemon is leaving or has missed heartbeats, unless there are no others.
 func (r *Router) candidates(service string) []routing.Instance {
 	all := r.view.Load().InstancesOf(service)
 	staying := make([]routing.Instance, 0, len(all))
-	for _, i := range all {
-		if !r.beats.away(i.Address.Addr()) {
-			staying = append(staying, i)
+	for _, inst := range all {
+		if !r.reporter.unavailable(inst.Address.Addr()) {
+			staying = append(staying, inst)
 		}
 	}
 	if len(staying) == 0 {
@@ -80,28 +81,28 @@
 	return staying
 }
 
-// goesOn reports whether the request may be offered to another instance after this ending.
+// mayRetry reports whether the request may be sent to another instance after this result.
 //
-// Only proof that it did not run lets a request go on that may run once. One that may run again goes on after
-// a lost answer and after a failure, which an instance that is only half well gives to part of its requests. Where a call of its
-// run has failed, another instance would make the same calls, and what failed there has been repeated already.
-func (r *Router) goesOn(q *request, d offered) bool {
-	switch d.answer.Outcome {
+// A request that may run only once is retried only if it provably did not run. An idempotent one is also retried after a lost response and
+// after a failure, since an unhealthy instance may fail only some of its requests. After a failed sub-call it is not retried: another
+// instance would make the same sub-calls, and the failed one has been retried already.
+func (r *Router) mayRetry(req *request, result attemptResult) bool {
+	switch result.answer.Outcome {
 	case call.NotRun:
-		return d.answer.Reason != call.Cancelled && d.answer.Reason != call.DeadlineTooNear
+		return result.answer.Reason != call.Cancelled && result.answer.Reason != call.DeadlineTooNear
 	case call.Unknown:
-		return q.route.Repeat == routing.Idempotent && d.answer.Reason == call.AnswerLost
+		return req.route.Repeat == routing.Idempotent && result.answer.Reason == call.AnswerLost
 	default:
-		return q.route.Repeat == routing.Idempotent && d.answer.Status == statusFailed &&
-			(!d.callFailed || r.settings.Without.Has(mechanism.CallFailures))
+		return req.route.Repeat == routing.Idempotent && result.answer.Status == statusFailed &&
+			(!result.subcallFailed || r.settings.Without.Has(mechanism.CallFailures))
 	}
 }
 
-// statusFailed is the status of an instance that failed; its timeouts and refusals have others.
+// statusFailed is the HTTP status of an instance that failed; its timeouts and refusals have other statuses.
 const statusFailed = 500
 
-// overdue is the answer to a request whose time is up between two offers.
-func overdue(ctx context.Context, last call.Answer) call.Answer {
+// deadlineAnswer returns the response to a request whose deadline passes, or that is cancelled, between two attempts.
+func deadlineAnswer(ctx context.Context, last call.Answer) call.Answer {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled) && last.Outcome == call.NotRun:
 		return call.Refuse(call.Cancelled, 0)
@@ -112,96 +113,96 @@
 	}
 }
 
-// offered is how an offer to one instance ended.
-type offered struct {
-	answer     call.Answer
-	ending     choice.Result
-	arrived    bool
-	callFailed bool
+// attemptResult is the result of one attempt.
+type attemptResult struct {
+	answer        call.Answer
+	sendResult    choice.Result
+	arrived       bool
+	subcallFailed bool
 }
 
-// offer hands the request to the daemon beside the instance, or runs it here where that is this one.
-func (r *Router) offer(ctx context.Context, q *request, i routing.Instance) offered {
-	begun := time.Now()
-	m := r.message(q, i, begun)
-	var back runResult
+// attempt sends the request to the daemon on the instance's host, or runs it directly if that is this daemon.
+func (r *Router) attempt(ctx context.Context, req *request, inst routing.Instance) attemptResult {
+	started := time.Now()
+	msg := r.message(req, inst, started)
+	var res runResult
 	var err error
-	switch to := r.peerOf(i.Address.Addr()); {
-	case to.Addr() == r.settings.Peers.Addr():
-		back = r.owner.run(ctx, &m)
-	case m.Idempotent:
-		back, err = peer.CallUnlessSilent[runRequest, runResult](ctx, r.peers, to, peer.KindRun, m)
+	switch peerAddress := r.peerOf(inst.Address.Addr()); {
+	case peerAddress.Addr() == r.settings.Peers.Addr():
+		res = r.executor.run(ctx, &msg)
+	case msg.Idempotent:
+		res, err = peer.CallUnlessSilent[runRequest, runResult](ctx, r.peers, peerAddress, peer.KindRun, msg)
 	default:
-		back, err = peer.Call[runRequest, runResult](ctx, r.peers, to, peer.KindRun, m)
+		res, err = peer.Call[runRequest, runResult](ctx, r.peers, peerAddress, peer.KindRun, msg)
 	}
 	now := time.Now()
 	if err != nil {
-		back = unanswered(ctx, err)
+		res = resultOfError(ctx, err)
 	}
-	e := ending(back, err)
-	r.chooser.Record(i, e, now.Sub(begun), back.Load, now)
-	q.trail.add(i, e, back, now.Sub(begun))
-	q.meet(back)
-	return offered{
+	result := sendResult(res, err)
+	r.balancer.Record(inst, result, now.Sub(started), res.Load, now)
+	req.attempts.add(inst, result, res, now.Sub(started))
+	req.observe(res)
+	return attemptResult{
 		answer: call.Answer{
-			Outcome: back.Outcome, Reason: back.Reason, Status: back.Status, Header: back.Header, Body: back.Body, RetryAfter: back.RetryAfter,
+			Outcome: res.Outcome, Reason: res.Reason, Status: res.Status, Header: res.Header, Body: res.Body, RetryAfter: res.RetryAfter,
 		},
-		ending: e, arrived: back.Arrived, callFailed: back.CallFailed,
+		sendResult: result, arrived: res.Arrived, subcallFailed: res.SubcallFailed,
 	}
 }
 
-// meet takes in how full the services were that the request has met at one instance.
-func (q *request) meet(back runResult) {
-	q.fullness = max(q.fullness, back.Saturation)
-	q.callRefused = back.CallRefused || back.Reason.Overload()
+// observe records the saturation that one attempt's result reports.
+func (req *request) observe(res runResult) {
+	req.saturation = max(req.saturation, res.Saturation)
+	req.subcallRefused = res.SubcallRefused || res.Reason.Overload()
 }
 
-// peerOf returns where the daemon on a host listens.
+// peerOf returns the address on which the daemon on a host listens for other daemons.
 func (r *Router) peerOf(host netip.Addr) netip.AddrPort {
 	return netip.AddrPortFrom(host, r.settings.Peers.Port())
 }
 
-func (r *Router) message(q *request, i routing.Instance, now time.Time) runRequest {
+func (r *Router) message(req *request, inst routing.Instance, now time.Time) runRequest {
 	return runRequest{
-		RequestID: q.id, Instance: i.Incarnation(), Route: q.route.Name, Root: q.root, CallerService: r.settings.Service, Organisation: q.organisation,
-		Method: q.method, Target: q.target, HTTPHost: q.httpHost, Header: q.header, Body: q.body,
-		Remaining: q.deadline.Sub(now), Priority: q.priority, Idempotent: q.route.Repeat == routing.Idempotent,
-		Nested: q.nested, Repeat: q.repeat,
+		RequestID: req.id, Instance: inst.Incarnation(), Route: req.route.Name, Root: req.root, CallerService: r.settings.Service, Organisation: req.organisation,
+		Method: req.method, Target: req.target, HTTPHost: req.httpHost, Header: req.header, Body: req.body,
+		Remaining: req.deadline.Sub(now), Priority: req.priority, Idempotent: req.route.Repeat == routing.Idempotent,
+		Subcall: req.subcall, Retry: req.retry,
 	}
 }
 
-// unanswered is what an error of the way to another daemon says of the request: not run only where it did not leave whole.
-func unanswered(ctx context.Context, err error) runResult {
-	var a call.Answer
+// resultOfError converts an error in the exchange with another daemon. The request counts as not run only if it was not sent completely.
+func resultOfError(ctx context.Context, err error) runResult {
+	var answer call.Answer
 	switch {
 	case errors.Is(err, peer.ErrNotSent) && errors.Is(ctx.Err(), context.Canceled):
-		a = call.Refuse(call.Cancelled, 0)
+		answer = call.Refuse(call.Cancelled, 0)
 	case errors.Is(err, peer.ErrNotSent):
-		a = call.Refuse(call.NoUpstream, noInstanceWait)
+		answer = call.Refuse(call.NoUpstream, noInstanceRetryAfter)
 	case errors.Is(err, context.Canceled):
-		a = call.Lose(call.Cancelled)
+		answer = call.Lose(call.Cancelled)
 	case errors.Is(err, context.DeadlineExceeded):
-		a = call.Lose(call.TimedOut)
+		answer = call.Lose(call.TimedOut)
 	default:
-		a = call.Lose(call.AnswerLost)
+		answer = call.Lose(call.AnswerLost)
 	}
-	return runResult{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Arrived: a.Outcome != call.NotRun}
+	return runResult{Outcome: answer.Outcome, Reason: answer.Reason, Status: answer.Status, RetryAfter: answer.RetryAfter, Arrived: answer.Outcome != call.NotRun}
 }
 
-// ending tells the chooser what the end of an offer says of the instance.
-func ending(back runResult, err error) choice.Result {
+// sendResult converts the result of an attempt to what it says about the instance, for the balancer.
+func sendResult(res runResult, err error) choice.Result {
 	switch {
-	case err != nil && back.Outcome == call.NotRun && back.Reason != call.Cancelled:
+	case err != nil && res.Outcome == call.NotRun && res.Reason != call.Cancelled:
 		return choice.Unreachable
-	case back.Outcome == call.Whole && back.Status >= statusFailed && back.CallFailed:
-		// Held against the instance, failures deep down would drive work away from those that are well.
+	case res.Outcome == call.Whole && res.Status >= statusFailed && res.SubcallFailed:
+		// Without this, failures of services further down would drive requests away from healthy instances.
 		return choice.Withdrawn
-	case back.Outcome == call.Whole && back.Status >= statusFailed:
+	case res.Outcome == call.Whole && res.Status >= statusFailed:
 		return choice.Failed
-	case back.Outcome == call.Whole:
+	case res.Outcome == call.Whole:
 		return choice.Served
 	}
-	switch back.Reason {
+	switch res.Reason {
 	case call.NoUpstream, call.Draining:
 		return choice.Unreachable
 	case call.UpstreamShed:
--- a/internal/app/router/record.go
+++ b/internal/app/router/record.go
@@ -15,13 +15,13 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/httpd"
 )
 
-// attempts is what became of a request at each instance that it was offered to.
-type attempts []step
+// attempts logs the attempts of a request.
+type attempts []attempt
 
-// step is one offer.
-type step struct {
+// attempt is one attempt.
+type attempt struct {
 	Instance string `json:"instance"`
-	Ending   string `json:"ending"`
+	Result   string `json:"ending"`
 	Reason   string `json:"reason,omitempty"`
 	Status   int    `json:"status,omitempty"`
 	TookMs   int64  `json:"tookMs"`
@@ -31,73 +31,74 @@
 	Limit    int    `json:"limit"`
 }
 
-func (t *attempts) add(i routing.Instance, e choice.Result, back runResult, took time.Duration) {
-	s := step{
-		Instance: i.ID, Ending: e.String(), Status: back.Status, TookMs: took.Milliseconds(), WaitedMs: back.Waited.Milliseconds(),
-		InFlight: back.Load.InFlight, Queued: back.Load.Queued, Limit: back.Load.Limit,
+func (a *attempts) add(inst routing.Instance, result choice.Result, res runResult, took time.Duration) {
+	entry := attempt{
+		Instance: inst.ID, Result: result.String(), Status: res.Status, TookMs: took.Milliseconds(), WaitedMs: res.Waited.Milliseconds(),
+		InFlight: res.Load.InFlight, Queued: res.Load.Queued, Limit: res.Load.Limit,
 	}
-	if back.Reason != call.None {
-		s.Reason = back.Reason.String()
+	if res.Reason != call.None {
+		entry.Reason = res.Reason.String()
 	}
-	*t = append(*t, s)
+	*a = append(*a, entry)
 }
 
-// conclude counts and logs how a caller's request ended. What went well is logged in a part only; every refusal, failure and repeat is.
-func (r *Router) conclude(q *request, a call.Answer) {
-	took := time.Since(q.begun)
-	r.counts.add(a, took)
-	plain := a.Outcome == call.Whole && a.Status < statusFailed && len(q.trail) == 1
-	if plain && !r.counts.sample() {
+// recordRequest counts and logs the result of a caller's request. Requests that succeed at the first attempt are sampled; every refusal,
+// failure and retry is logged.
+func (r *Router) recordRequest(req *request, answer call.Answer) {
+	took := time.Since(req.arrivedAt)
+	r.responses.add(answer, took)
+	succeeded := answer.Outcome == call.Whole && answer.Status < statusFailed && len(req.attempts) == 1
+	if succeeded && !r.responses.sample() {
 		return
 	}
 	view := r.view.Load()
 	fields := logrus.Fields{
-		"requestId": q.id, "method": q.method, "outcome": a.Outcome.String(), "status": status(a), "tookMs": took.Milliseconds(),
+		"requestId": req.id, "method": req.method, "outcome": answer.Outcome.String(), "status": status(answer), "tookMs": took.Milliseconds(),
 		"version": version(view), "revision": view.Revision,
 	}
-	if a.Reason != call.None {
-		fields["reason"] = a.Reason.String()
+	if answer.Reason != call.None {
+		fields["reason"] = answer.Reason.String()
 	}
-	if q.route != nil {
-		fields["route"], fields["service"], fields["organisation"] = q.route.Name, q.service, q.organisation
-		fields["priority"], fields["timeoutMs"] = q.priority.String(), q.deadline.Sub(q.begun).Milliseconds()
+	if req.route != nil {
+		fields["route"], fields["service"], fields["organisation"] = req.route.Name, req.service, req.organisation
+		fields["priority"], fields["timeoutMs"] = req.priority.String(), req.deadline.Sub(req.arrivedAt).Milliseconds()
 	}
-	if a.RetryAfter > 0 {
-		fields["retryAfterMs"] = a.RetryAfter.Milliseconds()
+	if answer.RetryAfter > 0 {
+		fields["retryAfterMs"] = answer.RetryAfter.Milliseconds()
 	}
-	if a.Reason == call.OverRate {
-		fields["demand"], fields["rate"], fields["openShare"] = q.quota.Demand, q.quota.Rate, q.quota.AdmitFraction
-		if q.quota.Age >= 0 {
-			fields["demandAgeMs"] = q.quota.Age.Milliseconds()
+	if answer.Reason == call.OverRate {
+		fields["demand"], fields["rate"], fields["openShare"] = req.quota.Demand, req.quota.Rate, req.quota.AdmitFraction
+		if req.quota.Age >= 0 {
+			fields["demandAgeMs"] = req.quota.Age.Milliseconds()
 		}
 	}
-	if q.shed.RejectFraction > 0 {
-		fields["turnedAwayShare"], fields["planAgeMs"] = q.shed.RejectFraction, q.shed.Age.Milliseconds()
+	if req.shed.RejectFraction > 0 {
+		fields["turnedAwayShare"], fields["planAgeMs"] = req.shed.RejectFraction, req.shed.Age.Milliseconds()
 	}
-	if len(q.trail) > 0 {
-		fields["offers"] = q.trail
+	if len(req.attempts) > 0 {
+		fields["offers"] = req.attempts
 	}
 	r.log.WithFields(fields).Info("request")
 }
 
-// concludeRun logs a run for another daemon that did not end whole.
-func (r *Router) concludeRun(m *runRequest, out *runResult) {
-	if out.Outcome == call.Whole {
+// logFailedRun logs a run for another daemon that did not return a whole response.
+func (r *Router) logFailedRun(req *runRequest, res *runResult) {
+	if res.Outcome == call.Whole {
 		return
 	}
 	r.log.WithFields(logrus.Fields{
-		"requestId": m.RequestID, "instance": m.Instance.ID, "route": m.Route, "outcome": out.Outcome.String(), "reason": out.Reason.String(),
-		"remainingMs": m.Remaining.Milliseconds(), "waitedMs": out.Waited.Milliseconds(), "arrived": out.Arrived,
-		"inFlight": out.Load.InFlight, "queued": out.Load.Queued, "limit": out.Load.Limit,
+		"requestId": req.RequestID, "instance": req.Instance.ID, "route": req.Route, "outcome": res.Outcome.String(), "reason": res.Reason.String(),
+		"remainingMs": req.Remaining.Milliseconds(), "waitedMs": res.Waited.Milliseconds(), "arrived": res.Arrived,
+		"inFlight": res.Load.InFlight, "queued": res.Load.Queued, "limit": res.Load.Limit,
 	}).Info("run")
 }
 
-func (r *Router) refusedEarly(f httpd.Fault, a call.Answer) {
-	r.counts.add(a, 0)
-	r.log.WithFields(logrus.Fields{"fault": f.String(), "status": a.Status}).Info("refused before it was whole")
+func (r *Router) recordEarlyRefusal(fault httpd.Fault, answer call.Answer) {
+	r.responses.add(answer, 0)
+	r.log.WithFields(logrus.Fields{"fault": fault.String(), "status": answer.Status}).Info("refused before it was whole")
 }
 
-// refusal is the JSON body of every answer that is not an instance's.
+// refusal is the JSON body of every response that is not an instance's.
 type refusal struct {
 	Outcome      string `json:"outcome"`
 	Reason       string `json:"reason"`
@@ -105,59 +106,61 @@
 	RequestID    string `json:"requestId,omitempty"`
 }
 
-func refusalBody(id string, a call.Answer) []byte {
+func refusalBody(id string, answer call.Answer) []byte {
 	raw, _ := json.Marshal(refusal{ // a struct of texts and numbers always has an encoding.
-		Outcome: a.Outcome.String(), Reason: a.Reason.String(), RequestID: id, RetryAfterMs: a.RetryAfter.Milliseconds(),
+		Outcome: answer.Outcome.String(), Reason: answer.Reason.String(), RequestID: id, RetryAfterMs: answer.RetryAfter.Milliseconds(),
 	})
 	return append(raw, '\n')
 }
 
-// counts keeps the metrics of every kind of answer that came up: making a tagged scope costs several allocations, each time anew.
-type counts struct {
+// responseMetrics caches the metrics of each kind of response: creating a tagged scope costs several allocations each time.
+type responseMetrics struct {
 	scope telemetry.Scope
 
-	mu      sync.Mutex
-	kinds   map[kind]*count
-	sampled int
+	mu        sync.Mutex
+	byKind    map[responseKind]*kindMetrics
+	succeeded int
 }
 
-type kind struct {
+type responseKind struct {
 	outcome call.Outcome
 	reason  call.Reason
 }
 
-type count struct {
+type kindMetrics struct {
 	answers tally.Counter
 	seconds tally.Histogram
 }
 
-func newCounts(scope telemetry.Scope) *counts { return &counts{scope: scope, kinds: map[kind]*count{}} }
+func newResponseMetrics(scope telemetry.Scope) *responseMetrics {
+	return &responseMetrics{scope: scope, byKind: map[responseKind]*kindMetrics{}}
+}
 
-func (c *counts) add(a call.Answer, took time.Duration) {
-	n := c.of(kind{a.Outcome, a.Reason})
-	n.answers.Inc(1)
-	n.seconds.RecordDuration(took)
+func (m *responseMetrics) add(answer call.Answer, took time.Duration) {
+	metrics := m.of(responseKind{answer.Outcome, answer.Reason})
+	metrics.answers.Inc(1)
+	metrics.seconds.RecordDuration(took)
 }
 
-func (c *counts) of(k kind) *count {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	n := c.kinds[k]
-	if n == nil {
-		scope := c.scope.Tagged(map[string]string{"outcome": k.outcome.String(), "reason": k.reason.String()})
-		n = &count{answers: scope.Counter(telemetry.Answers), seconds: scope.Latencies(telemetry.AnswerSeconds)}
-		c.kinds[k] = n
+func (m *responseMetrics) of(kind responseKind) *kindMetrics {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	metrics := m.byKind[kind]
+	if metrics == nil {
+		scope := m.scope.Tagged(map[string]string{"outcome": kind.outcome.String(), "reason": kind.reason.String()})
+		metrics = &kindMetrics{answers: scope.Counter(telemetry.Answers), seconds: scope.Latencies(telemetry.AnswerSeconds)}
+		m.byKind[kind] = metrics
 	}
-	return n
+	return metrics
 }
 
-// sampleEvery is how many requests that went well stand behind one line.
-const sampleEvery = 16
+// sampleInterval is the number of successful requests per logged one.
+const sampleInterval = 16
 
-// sample reports whether a request that went well is logged.
-func (c *counts) sample() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.sampled++
-	return c.sampled%sampleEvery == 0
+// sample reports whether a successful request is logged.
+func (m *responseMetrics) sample() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.succeeded++
+	return m.succeeded%sampleInterval == 0
 }
--- a/internal/app/router/router.go
+++ b/internal/app/router/router.go
@@ -20,29 +20,30 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// Router is one process of the system, beside one instance.
+// Router is the daemon that runs next to one instance.
 type Router struct {
-	settings Settings
-	log      *logrus.Logger
-	metrics  *telemetry.Metrics
-	counts   *counts
-	heads    Heads
+	settings  Settings
+	log       *logrus.Logger
+	metrics   *telemetry.Metrics
+	responses *responseMetrics
+	heads     Heads
 
 	view atomic.Pointer[catalog.View]
-	// leaving is set with the order to end, and closed a little before nothing more is taken from other daemons.
-	leaving atomic.Bool
-	closed  atomic.Bool
-	left    atomic.Int64
-	peers   *peer.Node
+	// leaving is set by the order to shut down, at leftAt in Unix nanoseconds. closedToPeers is set a while later; from then on the daemon
+	// reports that it is leaving and refuses other daemons' requests.
+	leaving       atomic.Bool
+	closedToPeers atomic.Bool
+	leftAt        atomic.Int64
+	peers         *peer.Node
 
 	splitter *split.Splitter
-	chooser  *choice.Balancer
+	balancer *choice.Balancer
 	quota    *quota.Quota
 	repeats  *repeats.Budget
 	shedder  *shed.Shedder
-	owner    *executor
+	executor *executor
 	control  *control
-	beats    *reporter
+	reporter *reporter
 
 	callers  *httpd.Server
 	health   *httpd.Server
@@ -51,74 +52,74 @@
 }
 
 // New returns a router with checked settings; it does nothing until Run.
-func New(s Settings, source Source, heads Heads, log *logrus.Logger) *Router {
+func New(settings Settings, source Source, heads Heads, log *logrus.Logger) *Router {
 	r := &Router{
-		settings: s,
+		settings: settings,
 		log:      log,
-		metrics:  telemetry.NewMetrics(s.Host, s.Zone),
+		metrics:  telemetry.NewMetrics(settings.Host, settings.Zone),
 		heads:    heads,
 		splitter: split.NewRandom(),
-		chooser:  choice.New(s.Zone, choice.Without(s.Without)),
+		balancer: choice.New(settings.Zone, choice.Without(settings.Without)),
 		quota:    quota.New(),
-		repeats:  repeats.New(s.Repeats),
-		shedder:  shed.New(shed.Without(s.Without)),
+		repeats:  repeats.New(settings.Repeats),
+		shedder:  shed.New(shed.Without(settings.Without)),
 	}
-	r.counts = newCounts(r.metrics.Scope)
+	r.responses = newResponseMetrics(r.metrics.Scope)
 	r.view.Store(catalog.New().View(nil))
-	r.owner = newExecutor(s, heads)
-	r.peers = peer.New(s.Peers, peer.WithMaxFrame(bodyBound+frameSlack), peer.WithLogger(r.peerFault), peer.WithDialTimeout(peerDialTime),
-		peer.WithProbes(peer.Probes{After: probeAfter, Limit: silentAfter}))
+	r.executor = newExecutor(settings, heads)
+	r.peers = peer.New(settings.Peers, peer.WithMaxFrame(maxBodyBytes+maxHeaderBytes), peer.WithLogger(r.peerFault), peer.WithDialTimeout(peerDialTimeout),
+		peer.WithProbes(peer.Probes{After: probeAfter, Limit: peerTimeout}))
 	r.control = newControl(r, source)
-	r.beats = newReporter(r)
-	peer.Handle(r.peers, peer.KindRun, r.takeRun)
-	peer.Handle(r.peers, peer.KindBeat, r.beats.take)
-	peer.Handle(r.peers, peer.KindChanges, r.control.takeFetch)
-	r.callers = httpd.New(s.Callers, http.HandlerFunc(r.serve), httpd.WithBodyBound(bodyBound), httpd.WithMaxConns(r.maxConns()),
+	r.reporter = newReporter(r)
+	peer.Handle(r.peers, peer.KindRun, r.handleRun)
+	peer.Handle(r.peers, peer.KindBeat, r.reporter.handle)
+	peer.Handle(r.peers, peer.KindChanges, r.control.handleFetch)
+	r.callers = httpd.New(settings.Callers, http.HandlerFunc(r.serve), httpd.WithBodyBound(maxBodyBytes), httpd.WithMaxConns(r.maxConns()),
 		httpd.WithHeldBytes(r.heldBytes()), httpd.WithRefuser(r.refuseFault), httpd.WithClosing(r.closing))
-	r.health = httpd.New(s.Health, http.HandlerFunc(r.serveHealth), httpd.WithMaxConns(healthConns))
-	if s.Metrics.IsValid() {
-		r.operator = httpd.New(s.Metrics, r.operatorRoutes(), httpd.WithMaxConns(healthConns))
+	r.health = httpd.New(settings.Health, http.HandlerFunc(r.serveHealth), httpd.WithMaxConns(maxHealthConns))
+	if settings.Metrics.IsValid() {
+		r.operator = httpd.New(settings.Metrics, r.operatorRoutes(), httpd.WithMaxConns(maxHealthConns))
 	}
 	return r
 }
 
 const (
-	// bodyBound is the largest body that is taken from a caller or an instance, as letter 1 has it.
-	bodyBound = 64 << 20
-	// frameSlack is room for a request's head beside its body.
-	frameSlack = 1 << 20
-	// peerDialTime bounds opening a connection to another daemon: some round trips between zones, and one lost packet.
-	peerDialTime = 400 * time.Millisecond
-	// A sign of life of another daemon takes a few milliseconds, and some hundred where its processor is short or a packet was lost.
-	// A lookup that is sent again after silentAfter still comes within the time that callers find good.
+	// maxBodyBytes is the required limit on the body of a caller's request or an instance's response.
+	maxBodyBytes = 64 << 20
+	// maxHeaderBytes is what a peer message may have beyond the body, for the request's header.
+	maxHeaderBytes = 1 << 20
+	// peerDialTimeout bounds opening a connection to another daemon: several round trips between availability zones, and one lost packet.
+	peerDialTimeout = 400 * time.Millisecond
+	// Another daemon answers a probe within a few milliseconds, or within several hundred if its CPU is overloaded or a packet was lost. A
+	// read that is retried after peerTimeout still completes within the time that callers accept.
 	probeAfter  = 200 * time.Millisecond
-	silentAfter = 700 * time.Millisecond
-	// healthConns bounds connections on the ports for health and metrics, which few programs ask.
-	healthConns = 64
-	// callersPart is the part of the descriptors that callers' connections may take; the rest is for the instance and peers.
-	callersPart = 2
-	// heldPart is the part of the memory that bodies may take while they arrive or wait.
-	heldPart = 4
-	// defaultConns and defaultHeld hold where the settings name no limits.
-	defaultConns = 4096
-	defaultHeld  = 64 << 20
+	peerTimeout = 700 * time.Millisecond
+	// maxHealthConns bounds connections on the ports for health and metrics, which only a few programs use.
+	maxHealthConns = 64
+	// callersDescriptorDivisor divides the file descriptors: callers' connections may use half, the rest is for the instance and peers.
+	callersDescriptorDivisor = 2
+	// heldMemoryDivisor divides the memory: bodies may use a quarter while they arrive or wait.
+	heldMemoryDivisor = 4
+	// defaultConns and defaultHeldBytes apply if the settings have no limits.
+	defaultConns     = 4096
+	defaultHeldBytes = 64 << 20
 )
 
 func (r *Router) maxConns() int {
 	if r.settings.Descriptors == 0 {
 		return defaultConns
 	}
-	return max(r.settings.Descriptors/callersPart, 1)
+	return max(r.settings.Descriptors/callersDescriptorDivisor, 1)
 }
 
 func (r *Router) heldBytes() int {
 	if r.settings.MemoryBytes == 0 {
-		return defaultHeld
+		return defaultHeldBytes
 	}
-	return int(r.settings.MemoryBytes / heldPart)
+	return int(r.settings.MemoryBytes / heldMemoryDivisor)
 }
 
-// Run serves until ctx ends, then leaves; the error tells which listener failed to start.
+// Run serves until ctx ends, then shuts down; an error says which listener failed to start.
 func (r *Router) Run(ctx context.Context) error {
 	if err := r.start(); err != nil {
 		return err
@@ -143,6 +144,6 @@
 		}
 	}
 	r.control.start()
-	r.beats.start()
+	r.reporter.start()
 	return nil
 }
--- a/internal/app/router/seams.go
+++ b/internal/app/router/seams.go
@@ -10,32 +10,32 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/catalog"
 )
 
-// ErrHistoryGone means that the store no longer has the changes since a revision; all must be read anew.
-var ErrHistoryGone = errors.New("router: the store's history is gone")
+// ErrHistoryGone means that the configuration store no longer has the changes since a revision, so everything must be read again.
+var ErrHistoryGone = errors.New("router: the configuration store no longer has the requested history")
 
-// Source is where configurations and instances are published; it is only read.
+// Source reads configurations and instances from where they are published.
 type Source interface {
 	// Read returns everything that is published now.
 	Read(ctx context.Context) (catalog.Changes, error)
-	// Watch returns what changed after the revision once there is something, or nothing when wait is over.
+	// Watch returns the changes after the revision as soon as there are any, or none when wait is over.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (catalog.Changes, error)
 }
 
-// Heads translates between the headers on the wire and what the router needs of them.
+// Heads translates between the HTTP headers on the wire and the fields that the router needs.
 type Heads interface {
-	// Caller takes the fields of a caller's head out of it; what is left is forwarded.
+	// Caller extracts the fields of a caller's header and removes them; the rest is forwarded.
 	Caller(h http.Header) (CallerHead, error)
-	// Forward adds the fields that an instance expects to a request's head.
+	// Forward adds the fields that an instance expects to a request's header.
 	Forward(h http.Header, f Forwarded)
-	// Answer reads the fields of an instance's answer; the head itself is passed on as it is.
+	// Answer reads the fields of an instance's response; the header itself is passed on unchanged.
 	Answer(status int, h http.Header) InstanceHead
-	// Refuse adds what tells a caller about an answer that is not an instance's.
+	// Refuse adds the fields for a caller to a response that is not an instance's.
 	Refuse(h http.Header, requestID string, retryAfter time.Duration)
 }
 
-// CallerHead is what a caller says of its request.
+// CallerHead has the fields of a caller's header.
 type CallerHead struct {
-	// RequestID names this attempt; it is empty if the caller gave none.
+	// RequestID identifies this request; it is empty if the caller gave none.
 	RequestID string
 	// Timeout is how long the caller waits, 0 if it doesn't say.
 	Timeout time.Duration
@@ -43,22 +43,22 @@
 	Key string
 }
 
-// Forwarded is what an instance is told beside the caller's own head.
+// Forwarded has the fields that are added to a caller's header for an instance.
 type Forwarded struct {
 	RequestID    string
 	Timeout      time.Duration
 	Instance     string
 	Organisation string
-	// CallerService is the service beside which the request began.
+	// CallerService is the service of the instance on the ingress daemon's host.
 	CallerService string
 }
 
-// InstanceHead is what an instance says with its answer.
+// InstanceHead has the fields of an instance's response header.
 type InstanceHead struct {
 	RequestID string
 	// NotRun means that the instance declined and did not run the request.
 	NotRun bool
-	// Authentic means that the answer bears the instance's signature.
+	// Authentic means that the response has the instance's signature.
 	Authentic bool
 	// Encoded means that the body is not the instance's own bytes.
 	Encoded bool
--- a/internal/app/router/send.go
+++ b/internal/app/router/send.go
@@ -14,90 +14,90 @@
 )
 
 // execute sends the request to the instance.
-func (o *executor) execute(ctx context.Context, m *runRequest, deadline time.Time) runResult {
-	header := m.Header.Clone()
+func (e *executor) execute(ctx context.Context, req *runRequest, deadline time.Time) runResult {
+	header := req.Header.Clone()
 	if header == nil {
 		header = http.Header{}
 	}
 	now := time.Now()
-	o.heads.Forward(header, Forwarded{
-		RequestID: m.RequestID, Timeout: deadline.Sub(now), Instance: m.Instance.ID, Organisation: m.Organisation, CallerService: m.CallerService,
+	e.heads.Forward(header, Forwarded{
+		RequestID: req.RequestID, Timeout: deadline.Sub(now), Instance: req.Instance.ID, Organisation: req.Organisation, CallerService: req.CallerService,
 	})
-	run := &lineage.Run{Route: m.Route, Root: m.Root, Priority: m.Priority, Retry: m.Repeat}
-	o.runs.Begin(run, now.Add(deadline.Sub(now).Truncate(time.Millisecond)))
-	out := o.send(ctx, m, header, deadline)
-	o.runs.End(run, out.Outcome == call.Whole && out.Status < statusFailed)
-	out.Saturation, out.CallRefused = run.Saturation()
-	out.CallFailed = out.Status >= statusFailed && o.runs.CausedByCall(run, time.Now())
-	return out
+	run := &lineage.Run{Route: req.Route, Root: req.Root, Priority: req.Priority, Retry: req.Retry}
+	e.runs.Begin(run, now.Add(deadline.Sub(now).Truncate(time.Millisecond)))
+	res := e.send(ctx, req, header, deadline)
+	e.runs.End(run, res.Outcome == call.Whole && res.Status < statusFailed)
+	res.Saturation, res.SubcallRefused = run.Saturation()
+	res.SubcallFailed = res.Status >= statusFailed && e.runs.CausedByCall(run, time.Now())
+	return res
 }
 
-func (o *executor) send(ctx context.Context, m *runRequest, header http.Header, deadline time.Time) runResult {
+func (e *executor) send(ctx context.Context, req *runRequest, header http.Header, deadline time.Time) runResult {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	res, err := o.instance.Do(ctx, &instance.Request{
-		Method: m.Method, Target: m.Target, Host: m.HTTPHost, Header: header, Body: m.Body, Deadline: deadline, Repeatable: m.Idempotent,
+	resp, err := e.instance.Do(ctx, &instance.Request{
+		Method: req.Method, Target: req.Target, Host: req.HTTPHost, Header: header, Body: req.Body, Deadline: deadline, Repeatable: req.Idempotent,
 		Answers: func(h http.Header) bool {
-			id := o.heads.Answer(http.StatusOK, h).RequestID
-			return id == "" || id == m.RequestID
+			id := e.heads.Answer(http.StatusOK, h).RequestID
+			return id == "" || id == req.RequestID
 		},
 	})
 	if err != nil {
-		return o.failed(ctx, err)
+		return e.errorResult(ctx, err)
 	}
-	return o.read(res)
+	return e.responseResult(resp)
 }
 
-// failed tells what an error says of the request: not run only where no byte of it left.
-func (o *executor) failed(ctx context.Context, err error) runResult {
+// errorResult converts an error of the instance's client. The request counts as not run only if no byte of it was sent.
+func (e *executor) errorResult(ctx context.Context, err error) runResult {
 	cancelled := errors.Is(context.Cause(ctx), context.Canceled)
-	overdue := errors.Is(context.Cause(ctx), context.DeadlineExceeded)
+	deadlinePassed := errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 	if errors.Is(err, instance.ErrUnsent) {
 		reason := call.NoUpstream
 		switch {
 		case cancelled:
 			reason = call.Cancelled
-		case overdue:
+		case deadlinePassed:
 			reason = call.DeadlineTooNear
 		}
-		return refused(call.Refuse(reason, goneWait), call.Load{})
+		return refusedResult(call.Refuse(reason, unreachableRetryAfter), call.Load{})
 	}
 	reason := call.AnswerLost
 	switch {
 	case cancelled:
 		reason = call.Cancelled
-	case overdue:
+	case deadlinePassed:
 		reason = call.TimedOut
 	}
 	lost := call.Lose(reason)
 	return runResult{Outcome: lost.Outcome, Reason: lost.Reason, Status: lost.Status, Arrived: true}
 }
 
-// read takes the instance's answer as it is, unless it can't be the instance's own whole answer.
-func (o *executor) read(res instance.Response) runResult {
-	head := o.heads.Answer(res.Status, res.Header)
+// responseResult returns the instance's response as it is, unless it can't be the instance's own complete response.
+func (e *executor) responseResult(resp instance.Response) runResult {
+	head := e.heads.Answer(resp.Status, resp.Header)
 	if head.NotRun {
-		a := call.Refuse(call.UpstreamShed, shedWait)
-		return runResult{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Arrived: true}
+		answer := call.Refuse(call.UpstreamShed, declinedRetryAfter)
+		return runResult{Outcome: answer.Outcome, Reason: answer.Reason, Status: answer.Status, RetryAfter: answer.RetryAfter, Arrived: true}
 	}
-	if head.Encoded || !head.Authentic && res.Status < http.StatusBadRequest {
+	if head.Encoded || !head.Authentic && resp.Status < http.StatusBadRequest {
 		lost := call.Lose(call.AnswerLost)
 		return runResult{Outcome: lost.Outcome, Reason: lost.Reason, Status: lost.Status, Arrived: true}
 	}
-	return runResult{Outcome: call.Whole, Status: res.Status, Header: res.Header, Body: res.Body, Arrived: true}
+	return runResult{Outcome: call.Whole, Status: resp.Status, Header: resp.Header, Body: resp.Body, Arrived: true}
 }
 
-// shedWait is when to come back to a service whose instances turn requests away: some requests have ended by then.
-const shedWait = 250 * time.Millisecond
+// declinedRetryAfter is the Retry-After of a service whose instances decline requests: several requests have ended by then.
+const declinedRetryAfter = 250 * time.Millisecond
 
-// result tells the gate how a run ended.
-func result(out runResult, took time.Duration) admission.Result {
-	r := admission.Result{Own: took}
+// gateResult converts the result of a run for the gate.
+func gateResult(res runResult, took time.Duration) admission.Result {
+	result := admission.Result{Own: took}
 	switch {
-	case out.Reason == call.UpstreamShed:
-		r.Shed = true
-	case out.Outcome != call.Whole && out.Reason != call.AnswerLost:
-		r.Withdrawn = true
+	case res.Reason == call.UpstreamShed:
+		result.Shed = true
+	case res.Outcome != call.Whole && res.Reason != call.AnswerLost:
+		result.Withdrawn = true
 	}
-	return r
+	return result
 }
--- a/internal/app/router/settings.go
+++ b/internal/app/router/settings.go
@@ -11,70 +11,71 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/repeats"
 )
 
-// Settings is what a router is told at its start.
+// Settings configures a router at its start.
 type Settings struct {
 	// Host names the machine in logs and metrics.
 	Host string
 	Zone string
-	// Service is that of the instance beside the router.
+	// Service is the service of the instance on this host.
 	Service string
-	// Callers is where callers and the instance on this host send their requests.
+	// Callers is the address to which callers and the instance on this host send their requests.
 	Callers netip.AddrPort
-	// Peers is where other daemons come in; the port is the same on all hosts.
+	// Peers is the address for connections of other daemons; the port is the same on all hosts.
 	Peers netip.AddrPort
-	// Health is where the platform asks whether callers can be sent here.
+	// Health is the address at which the platform checks whether callers can be sent to this daemon.
 	Health netip.AddrPort
-	// Metrics is where counters and histograms are read; an invalid address means nowhere.
+	// Metrics is the address that serves counters and histograms; an invalid address disables it.
 	Metrics netip.AddrPort
-	// Instance is the address of the instance beside the router.
+	// Instance is the address of the instance on this host.
 	Instance netip.AddrPort
-	// Seeds are peers that a starting daemon asks when the store doesn't answer.
+	// Seeds are peers that a starting daemon asks for the published configuration and instances before it reads the store, and while the
+	// store doesn't answer.
 	Seeds []netip.AddrPort
-	// MemoryBytes is the most memory that the process may take, 0 if unknown.
+	// MemoryBytes is the maximum memory of the process, 0 if unknown.
 	MemoryBytes int64
-	// Descriptors is how many files and sockets the process may have open, 0 if unknown.
+	// Descriptors is the maximum number of open files and sockets of the process, 0 if unknown.
 	Descriptors int
-	// Repeats bounds what all daemons send once more.
+	// Repeats limits the retries of all daemons together.
 	Repeats repeats.Limits
-	// LeaveTime is how long the platform waits for the process to end after it asked it to.
+	// LeaveTime is how long the platform waits for the process to end after it ordered the shutdown.
 	LeaveTime time.Duration
-	// Without are the mechanisms that are switched off.
+	// Without has the mechanisms that are disabled.
 	Without mechanism.Set
-	// DrainTime is within how long nothing new may reach an instance that leaves.
+	// DrainTime is the time after which an instance that has started to drain must receive no new requests.
 	DrainTime time.Duration
 }
 
-// Problems is every fault of settings.
+// Problems has every fault of the settings.
 type Problems []string
 
-// Error lists them, a line each.
+// Error lists the faults, one per line.
 func (p Problems) Error() string { return strings.Join(p, "\n") }
 
 // Check returns Problems with all faults, or nil.
 func (s *Settings) Check() error {
-	var found Problems
-	for _, a := range []struct {
+	var problems Problems
+	for _, required := range []struct {
 		name    string
 		address netip.AddrPort
 	}{{"callers", s.Callers}, {"peers", s.Peers}, {"health", s.Health}, {"instance", s.Instance}} {
-		if !a.address.IsValid() || a.address.Port() == 0 {
-			found = append(found, "the address of "+a.name+" is missing or is not an IP number with a port")
+		if !required.address.IsValid() || required.address.Port() == 0 {
+			problems = append(problems, "the address of "+required.name+" is missing or is not an IP address with a port")
 		}
 	}
 	if s.Host == "" {
-		found = append(found, "the host's name is missing")
+		problems = append(problems, "the host's name is missing")
 	}
 	if s.Zone == "" {
-		found = append(found, "the availability zone is missing")
+		problems = append(problems, "the availability zone is missing")
 	}
 	if s.LeaveTime <= 0 {
-		found = append(found, "the time to leave is missing")
+		problems = append(problems, "the leave time is missing")
 	}
 	if s.Repeats.Ratio < 0 || s.Repeats.Slack < 0 || s.Repeats.Window <= 0 {
-		found = append(found, "the bounds of repeats are missing or negative")
+		problems = append(problems, "the retry limits are missing or negative")
 	}
-	if len(found) > 0 {
-		return errors.WithStack(found)
+	if len(problems) > 0 {
+		return errors.WithStack(problems)
 	}
 	return nil
 }
--- a/internal/app/router/taken.go
+++ b/internal/app/router/taken.go
@@ -8,22 +8,22 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// takeRun runs what another daemon hands on, unless this one is about to end.
+// handleRun runs a request that another daemon hands over, unless this daemon is closed to peers.
 //
-// Others hear of it within a beat, so what still comes is answered in the same round trip and goes to another
-// instance; run here, it could last longer than the process.
-func (r *Router) takeRun(ctx context.Context, _ netip.AddrPort, m runRequest) runResult {
+// Other daemons learn of the shutdown within a heartbeat. A request that still arrives is refused in the same round trip and goes to
+// another instance; if it ran here, it could outlast the process.
+func (r *Router) handleRun(ctx context.Context, _ netip.AddrPort, req runRequest) runResult {
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
-	if r.closed.Load() {
-		return refused(call.Refuse(call.Draining, noInstanceWait), r.owner.load())
+	if r.closedToPeers.Load() {
+		return refusedResult(call.Refuse(call.Draining, noInstanceRetryAfter), r.executor.load())
 	}
-	release, ok := r.callers.Hold(len(m.Body))
+	release, ok := r.callers.Hold(len(req.Body))
 	if !ok {
-		return refused(call.Refuse(call.Overloaded, time.Second), r.owner.load())
+		return refusedResult(call.Refuse(call.Overloaded, time.Second), r.executor.load())
 	}
 	defer release()
-	out := r.owner.run(ctx, &m)
-	r.concludeRun(&m, &out)
-	return out
+	res := r.executor.run(ctx, &req)
+	r.logFailedRun(&req, &res)
+	return res
 }
--- a/internal/app/router/ticket_test.go
+++ b/internal/app/router/ticket_test.go
@@ -9,17 +9,17 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-func TestPlaceInTheQueue(t *testing.T) {
-	// Guards against a short request that goes first waiting behind the calls of all that go after it.
-	Convey("A call goes before requests like its caller's and not before those that go first", t, func() {
-		of := func(standing float64, nested bool) call.Priority {
-			m := &runRequest{Priority: priority(standing), Nested: nested, Remaining: time.Second}
-			return new(executor).ticket(m, time.Now()).Priority
+func TestSubcallPriority(t *testing.T) {
+	// Guards against a short high-priority request that waits behind the sub-calls of all lower-priority ones.
+	Convey("A sub-call takes precedence over requests of its caller's priority, but not over those of a higher one", t, func() {
+		priorityOf := func(relativeRank float64, subcall bool) call.Priority {
+			req := &runRequest{Priority: priority(relativeRank), Subcall: subcall, Remaining: time.Second}
+			return new(executor).ticket(req, time.Now()).Priority
 		}
-		So(of(0, true), ShouldEqual, call.Nested)
-		So(of(1, true), ShouldBeGreaterThan, of(1, false))
-		So(of(1, true), ShouldBeLessThanOrEqualTo, of(0.5, false))
-		So(of(0.5, true), ShouldBeLessThanOrEqualTo, of(0, false))
-		So(of(0, false), ShouldBeGreaterThan, of(0.5, false))
+		So(priorityOf(0, true), ShouldEqual, call.Nested)
+		So(priorityOf(1, true), ShouldBeGreaterThan, priorityOf(1, false))
+		So(priorityOf(1, true), ShouldBeLessThanOrEqualTo, priorityOf(0.5, false))
+		So(priorityOf(0.5, true), ShouldBeLessThanOrEqualTo, priorityOf(0, false))
+		So(priorityOf(0, false), ShouldBeGreaterThan, priorityOf(0.5, false))
 	})
 }
--- a/internal/app/router/watch.go
+++ b/internal/app/router/watch.go
@@ -14,76 +14,76 @@
 )
 
 const (
-	// watchTime is the length of one watch. A connection that went silent for good is noticed when it
-	// is over, and a change must be in force within 2 s; see fresh.Limit.
-	watchTime = 900 * time.Millisecond
-	// changesPause is the wait after changes came: instances that start or leave write several times a second over a large fleet, and
-	// each change would cost a call of every reader. What must be in force within 2 s can wait that long.
+	// watchDuration is the length of one watch. A connection that no longer delivers anything is noticed when the watch is over, and a
+	// change must be in force within 2 s; see fresh.Limit.
+	watchDuration = 900 * time.Millisecond
+	// changesPause is the wait after changes arrived: in a large fleet, instances that start or leave write several times a second, and
+	// each change would cost a call by every reader. What must be in force within 2 s can wait that long.
 	changesPause = 100 * time.Millisecond
-	// firstPause is the wait after a call to the store that failed; it doubles up to longestPause.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 500 * time.Millisecond
-	// outageTime is how long the store must have failed to count as away: one lost connection doesn't.
-	outageTime = 700 * time.Millisecond
-	// seedsTime is how long a starting daemon asks the seeds for what is published before it reads the store: callers are refused
-	// meanwhile. seedsLook is the pause between two rounds, and seedTime bounds one question.
-	seedsTime = 100 * time.Millisecond
-	seedsLook = 20 * time.Millisecond
-	seedTime  = 50 * time.Millisecond
-	// idleLook is how often a daemon that doesn't follow the store looks whether it has to.
-	idleLook = 50 * time.Millisecond
+	// minRetryPause is the wait after a failed call to the store; it doubles up to maxRetryPause.
+	minRetryPause = 50 * time.Millisecond
+	maxRetryPause = 500 * time.Millisecond
+	// outageThreshold is how long calls to the store must have failed to count as an outage: one lost connection doesn't.
+	outageThreshold = 700 * time.Millisecond
+	// seedsTimeout is how long a starting daemon asks the seeds for what is published before it reads the store; callers are refused
+	// meanwhile. seedsInterval is the pause between two rounds, and seedTimeout bounds one request.
+	seedsTimeout  = 100 * time.Millisecond
+	seedsInterval = 20 * time.Millisecond
+	seedTimeout   = 50 * time.Millisecond
+	// idleInterval is how often a daemon that doesn't follow the store checks whether it has to.
+	idleInterval = 50 * time.Millisecond
 )
 
-// watch follows the store until the daemon stops.
+// watch follows the configuration store until the daemon stops.
 func (c *control) watch() {
-	revision := c.fromSeeds()
-	pause := firstPause
-	failing := time.Time{}
+	revision := c.loadFromSeeds()
+	pause := minRetryPause
+	failingSince := time.Time{}
 	for c.ctx.Err() == nil {
 		now := time.Now()
-		if revision > 0 && failing.IsZero() && !c.router.beats.reads(now) {
+		if revision > 0 && failingSince.IsZero() && !c.router.reporter.followsStore(now) {
 			revision = max(revision, c.router.view.Load().Revision)
-			sleep(c.ctx, idleLook)
+			sleep(c.ctx, idleInterval)
 			continue
 		}
-		ch, err := c.next(revision)
+		changes, err := c.readStore(revision)
 		now = time.Now()
 		switch {
 		case err == nil:
 			c.fresh.Answered(now)
-			c.regained(failing, now)
-			failing, pause = time.Time{}, firstPause
-			revision = ch.Revision
-			c.offer(ch, storeName)
-			if len(ch.Entries) > 0 {
+			c.storeRecovered(failingSince, now)
+			failingSince, pause = time.Time{}, minRetryPause
+			revision = changes.Revision
+			c.applyChanges(changes, storeName)
+			if len(changes.Entries) > 0 {
 				sleep(c.ctx, changesPause)
 			}
 		case errors.Is(err, ErrHistoryGone):
 			revision = 0
 		default:
 			c.fresh.Failed()
-			if failing.IsZero() {
-				failing = now
+			if failingSince.IsZero() {
+				failingSince = now
 			}
-			c.trouble(failing, now, err)
+			c.storeFailed(failingSince, now, err)
 			sleep(c.ctx, pause/2+rand.N(pause/2))
-			pause = min(2*pause, longestPause)
+			pause = min(2*pause, maxRetryPause)
 		}
 	}
 }
 
-// fromSeeds takes what is published over from a daemon that is named at the start, and returns its revision, or 0 where none of them knows it.
+// loadFromSeeds loads what is published from one of the seeds and returns its revision, or 0 if none of them has it.
 //
-// All of it is several pages in a large fleet. Were each daemon to read them at its start, the calls to the store would grow with the
-// square of the fleet, all in the second after a loss of power. The seeds themselves read the store.
-func (c *control) fromSeeds() uint64 {
+// In a large fleet, all that is published takes several pages. If each daemon read them from the store at its start, the calls would grow
+// with the square of the fleet, all in the second after a loss of power. The seeds themselves read the store.
+func (c *control) loadFromSeeds() uint64 {
 	seeds := c.router.settings.Seeds
 	if slices.Contains(seeds, c.router.settings.Peers) {
 		return 0
 	}
-	for end := time.Now().Add(seedsTime); len(seeds) > 0 && time.Now().Before(end); sleep(c.ctx, seedsLook) {
-		for _, n := range rand.Perm(len(seeds)) {
-			if revision := c.fromSeed(seeds[n]); revision > 0 {
+	for end := time.Now().Add(seedsTimeout); len(seeds) > 0 && time.Now().Before(end); sleep(c.ctx, seedsInterval) {
+		for _, i := range rand.Perm(len(seeds)) {
+			if revision := c.loadFromSeed(seeds[i]); revision > 0 {
 				return revision
 			}
 		}
@@ -91,66 +91,66 @@
 	return 0
 }
 
-// fromSeed takes over what one daemon knows, if it is whole and current.
-func (c *control) fromSeed(seed netip.AddrPort) uint64 {
-	asked := time.Now()
-	got, ok := c.request(seed, seedTime)
-	if !ok || !got.Whole || got.StoreAge >= fresh.Limit {
+// loadFromSeed loads what one seed has, if that is complete and current.
+func (c *control) loadFromSeed(seed netip.AddrPort) uint64 {
+	sent := time.Now()
+	reply, ok := c.requestChanges(seed, seedTimeout)
+	if !ok || !reply.Whole || reply.StoreAge >= fresh.Limit {
 		return 0
 	}
-	c.offer(got.Changes, seed.String())
-	c.fresh.ObserveCollector(asked, got.StoreAge)
-	c.router.beats.tell()
-	return got.Changes.Revision
+	c.applyChanges(reply.Changes, seed.String())
+	c.fresh.ObserveCollector(sent, reply.StoreAge)
+	c.router.reporter.trigger()
+	return reply.Changes.Revision
 }
 
-func (c *control) next(revision uint64) (catalog.Changes, error) {
+func (c *control) readStore(revision uint64) (catalog.Changes, error) {
 	if revision == 0 {
-		ch, err := c.source.Read(c.ctx)
+		changes, err := c.source.Read(c.ctx)
 		c.count("all", err)
-		return ch, err
+		return changes, err
 	}
-	ch, err := c.source.Watch(c.ctx, revision, watchTime)
+	changes, err := c.source.Watch(c.ctx, revision, watchDuration)
 	c.count("changes", err)
-	return ch, err
+	return changes, err
 }
 
 // count counts a call to the store.
-func (c *control) count(call string, err error) {
+func (c *control) count(operation string, err error) {
 	outcome := "answered"
 	if err != nil {
 		outcome = "failed"
 	}
-	c.router.metrics.Tagged(map[string]string{"call": call, "outcome": outcome}).Counter(telemetry.StoreCalls).Inc(1)
+	c.router.metrics.Tagged(map[string]string{"call": operation, "outcome": outcome}).Counter(telemetry.StoreCalls).Inc(1)
 }
 
-// trouble notes that the store doesn't answer, and asks another daemon instead: the store may turn this host away only.
-func (c *control) trouble(since, now time.Time, err error) {
+// storeFailed records that the store doesn't answer, and asks another daemon instead: the store may refuse only this host.
+func (c *control) storeFailed(since, now time.Time, err error) {
 	if c.ctx.Err() != nil {
 		return
 	}
 	if since.Equal(now) {
 		c.router.log.WithError(err).Warn("store lost")
 	}
-	if now.Sub(since) >= outageTime {
-		c.ask(func() { c.lastTrouble = now })
+	if now.Sub(since) >= outageThreshold {
+		c.do(func() { c.lastOutage = now })
 	}
-	c.router.beats.tell()
-	c.askSeeds()
+	c.router.reporter.trigger()
+	c.fetchFromSeeds()
 }
 
-func (c *control) regained(since, now time.Time) {
+func (c *control) storeRecovered(since, now time.Time) {
 	if since.IsZero() {
 		return
 	}
 	c.router.log.WithField("afterMs", now.Sub(since).Milliseconds()).Info("store regained")
-	if now.Sub(since) >= outageTime {
-		c.ask(func() { c.lastTrouble = now })
+	if now.Sub(since) >= outageThreshold {
+		c.do(func() { c.lastOutage = now })
 	}
 }
 
-// askSeeds asks the daemons named at the start while this one knows no others.
-func (c *control) askSeeds() {
+// fetchFromSeeds fetches from the seeds while this daemon has no configuration.
+func (c *control) fetchFromSeeds() {
 	if c.router.view.Load().Table != nil {
 		return
 	}
