--- a/internal/fleet/graph/doc.go
+++ b/internal/fleet/graph/doc.go
@@ -1,3 +1,2 @@
-// Package graph learns which services the requests of a route need, from the
-// calls that their runs make.
+// Package graph learns which services the requests of a route need, from the sub-calls that their runs make.
 package graph
--- a/internal/fleet/graph/graph.go
+++ b/internal/fleet/graph/graph.go
@@ -2,32 +2,32 @@
 
 import "maps"
 
-// Edges are how many calls a run of one route makes on another, by the two routes' names.
+// Edges has the number of sub-calls that one run of a route makes on another route, by the names of the calling and the called route.
 type Edges map[string]map[string]float64
 
-// Graph is the call graph of the whole fleet, put together from what the daemons beside instances have seen.
+// Graph is the call graph of the whole fleet, merged from what the daemons of instances observe.
 //
-// Services say nothing of what they call. Without the graph, nobody knows that a request needs a full service before
-// the answers come back through it, and those are late or lost just when it counts.
+// Services don't declare what they call. Without the graph it is unknown that a request needs a saturated service until the responses of
+// its sub-calls return, and in an overload these are late or lost.
 type Graph struct {
 	edges Edges
 }
 
 const (
-	// weight is how far one daemon's word moves an edge that is known.
-	weight = 0.2
-	// least is the fewest calls in a run that make an edge: now and then a call is taken for that of another run.
-	least = 0.1
-	// mostEdges bounds what is kept over many changes of the configuration.
-	mostEdges = 20_000
+	// smoothingFactor is the weight of one daemon's report in the moving average of a known edge.
+	smoothingFactor = 0.2
+	// minCalls is the minimum number of sub-calls per run that makes an edge: now and then a sub-call is attributed to the wrong run.
+	minCalls = 0.1
+	// maxRoutes bounds the calling routes that are retained over many configuration changes.
+	maxRoutes = 20_000
 )
 
 // New returns an empty graph.
 func New() *Graph { return &Graph{edges: Edges{}} }
 
-// Merge takes in what one daemon has seen.
-func (g *Graph) Merge(seen Edges) {
-	for from, calls := range seen {
+// Merge adds what one daemon has observed.
+func (g *Graph) Merge(observed Edges) {
+	for from, calls := range observed {
 		for to, count := range calls {
 			g.merge(from, to, count)
 		}
@@ -37,60 +37,60 @@
 func (g *Graph) merge(from, to string, count float64) {
 	old, known := g.edges[from][to]
 	switch {
-	case !known && count < least:
+	case !known && count < minCalls:
 		return
 	case !known:
 		if g.edges[from] == nil {
 			g.edges[from] = map[string]float64{}
 		}
-		if len(g.edges) > mostEdges {
+		if len(g.edges) > maxRoutes {
 			clear(g.edges)
 			g.edges[from] = map[string]float64{}
 		}
 		g.edges[from][to] = count
 		return
 	}
-	g.edges[from][to] = old + (count-old)*weight
+	g.edges[from][to] = old + (count-old)*smoothingFactor
 }
 
-// Edges returns the graph; it must not be changed, and holds until the next Merge.
+// Edges returns the graph. It must not be changed and is valid until the next Merge.
 func (g *Graph) Edges() Edges { return g.edges }
 
-// Clone returns a copy that later merges leave alone.
+// Clone returns a copy that later merges don't change.
 func (e Edges) Clone() Edges {
-	all := make(Edges, len(e))
+	clone := make(Edges, len(e))
 	for from, calls := range e {
-		all[from] = maps.Clone(calls)
+		clone[from] = maps.Clone(calls)
 	}
-	return all
+	return clone
 }
 
-// mostDepth is how deep calls are followed.
-const mostDepth = 16
+// maxDepth is how deep sub-calls are followed.
+const maxDepth = 16
 
-// Hop is one service that calls on a route lead to, with how many requests it gets for each request at the beginning.
+// Hop is a service that a route's sub-calls lead to, with the number of requests that it receives per root request.
 type Hop struct {
 	Route   string
 	Service string
 	Count   float64
 }
 
-// Hops returns all services that so many calls on the route lead to, with the calls below them; parts returns the services of a
-// route with their shares.
-func (e Edges) Hops(route string, count float64, parts func(route string) map[string]float64) []Hop {
-	var legs []Hop
-	e.follow(route, count, 0, parts, func(l Hop) { legs = append(legs, l) })
-	return legs
+// Hops returns the services that the given number of requests on the route lead to, with all sub-calls below them. The function shares
+// returns the fraction of a route's requests that goes to each of its services.
+func (e Edges) Hops(route string, count float64, shares func(route string) map[string]float64) []Hop {
+	var hops []Hop
+	e.follow(route, count, 0, shares, func(hop Hop) { hops = append(hops, hop) })
+	return hops
 }
 
-func (e Edges) follow(route string, times float64, depth int, parts func(string) map[string]float64, visit func(Hop)) {
-	if depth > mostDepth || times < least {
+func (e Edges) follow(route string, count float64, depth int, shares func(string) map[string]float64, visit func(Hop)) {
+	if depth > maxDepth || count < minCalls {
 		return
 	}
-	for service, share := range parts(route) {
-		visit(Hop{Route: route, Service: service, Count: times * share})
+	for service, share := range shares(route) {
+		visit(Hop{Route: route, Service: service, Count: count * share})
 	}
-	for to, count := range e[route] {
-		e.follow(to, times*count, depth+1, parts, visit)
+	for to, perRun := range e[route] {
+		e.follow(to, count*perRun, depth+1, shares, visit)
 	}
 }
