--- a/internal/fleet/fresh/doc.go
+++ b/internal/fleet/fresh/doc.go
@@ -1,2 +1,3 @@
-// Package fresh decides whether what a daemon knows of the published state is current, and who must follow the store itself.
+// Package fresh decides whether a daemon's snapshot of the published configuration is current, and which daemons must follow the
+// configuration store themselves.
 package fresh
--- a/internal/fleet/fresh/fresh.go
+++ b/internal/fleet/fresh/fresh.go
@@ -5,95 +5,97 @@
 	"time"
 )
 
-// Limit is how old a word from the store may be. A reader's watch tells it at least each 0.9 s that nothing changed, and a change must be
-// in force within 2 s: that leaves the rest for the word from one daemon to the next.
+// Limit is the maximum age of information from the configuration store. A reader's watch is answered at least every 0.9 s even if nothing
+// changed, and a change must be in force within 2 s: the limit leaves the rest for forwarding from one daemon to the next.
 const Limit = 1300 * time.Millisecond
 
-// Stale is the age of a store that does not answer.
+// Stale is the age that stands for a store that does not answer.
 const Stale = time.Hour
 
-// State is what one daemon knows of its own and its collector's hold on the store.
+// State tracks how current the configuration of one daemon and of its collector is.
 //
-// Most daemons don't follow the store, and hear of changes from a collector. The store may turn the collector away and serve the
-// others; a key that is withdrawn in that moment works on where they go on to believe it. So a collector
-// whose call failed says so at once, the age of its word counts against the time for which it is good, and
-// a daemon that hears of no current word follows the store itself.
+// Most daemons don't follow the store but receive changes from a collector. The store may refuse the collector's calls and serve others; a
+// key that is withdrawn at that moment stays valid at all daemons that go on to rely on the collector. So a collector whose call failed
+// reports that at once, the age of its snapshot counts against the time for which it is valid, and a daemon without a current collector
+// follows the store itself.
 type State struct {
-	mu      sync.Mutex
-	heard   time.Time
-	failing bool
-	current time.Time
-	// vouched is when the store answered another reader that knows nothing which this daemon doesn't.
-	vouched time.Time
+	mu sync.Mutex
+	// answeredAt is when the store last answered this daemon; failing means that a later call failed.
+	answeredAt time.Time
+	failing    bool
+	// collectorValidUntil is until when the collector's snapshot counts as current.
+	collectorValidUntil time.Time
+	// readerAnsweredAt is when the store last answered another reader that has nothing newer than this daemon.
+	readerAnsweredAt time.Time
 }
 
-// Answered notes that the store has answered this daemon.
+// Answered records that the store has answered this daemon.
 func (s *State) Answered(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard, s.failing = now, false
+	s.answeredAt, s.failing = now, false
 }
 
-// Failed notes that a call of this daemon to the store failed.
+// Failed records that a call of this daemon to the store has failed.
 func (s *State) Failed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failing = true
 }
 
-// Age is how old this daemon's own word from the store is.
+// Age returns the age of this daemon's own information from the store.
 func (s *State) Age(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.failing || s.heard.IsZero() {
+	if s.failing || s.answeredAt.IsZero() {
 		return Stale
 	}
-	return now.Sub(s.heard)
+	return now.Sub(s.answeredAt)
 }
 
-// ObserveCollector takes in how old a collector's word was when it answered a question sent at the time.
+// ObserveCollector records the age of the collector's snapshot, as it replied to a request sent at the given time.
 func (s *State) ObserveCollector(sent time.Time, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.current = sent.Add(Limit - age)
+	s.collectorValidUntil = sent.Add(Limit - age)
 }
 
-// ObserveReader takes in how long ago the store answered another reader, of which this daemon knows all that it knows.
+// ObserveReader records how long ago the store answered another reader, which has nothing newer than this daemon.
 //
-// The store may turn the collector away and serve the other readers. What these tell the collector is then as current as if it
-// had read it; without that, all daemons would follow the store themselves for as long as it lasts.
+// The store may refuse the collector and serve the other readers. What they report to the collector is then as current as if it had read it
+// itself; without this, all daemons would follow the store themselves for as long as the store refuses the collector.
 func (s *State) ObserveReader(now time.Time, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if at := now.Add(-age); at.After(s.vouched) {
-		s.vouched = at
+	if at := now.Add(-age); at.After(s.readerAnsweredAt) {
+		s.readerAnsweredAt = at
 	}
 }
 
-// BestAge is how old what this daemon knows of the store is: by its own reading, or by another reader's.
+// BestAge returns the age of this daemon's information from the store, by its own reading or another reader's.
 func (s *State) BestAge(now time.Time) time.Duration {
 	own := s.Age(now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.vouched.IsZero() {
+	if s.readerAnsweredAt.IsZero() {
 		return own
 	}
-	return min(own, now.Sub(s.vouched))
+	return min(own, now.Sub(s.readerAnsweredAt))
 }
 
-// CollectorAge is how old the collector's last word from the store is by now.
+// CollectorAge returns the age of the collector's last snapshot by now.
 func (s *State) CollectorAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current.IsZero() {
+	if s.collectorValidUntil.IsZero() {
 		return Stale
 	}
-	return min(max(now.Sub(s.current.Add(-Limit)), 0), Stale)
+	return min(max(now.Sub(s.collectorValidUntil.Add(-Limit)), 0), Stale)
 }
 
-// Current reports whether the collector's last word can still be relied on.
+// Current reports whether the collector's last snapshot can still be relied on.
 func (s *State) Current(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Before(s.current)
+	return now.Before(s.collectorValidUntil)
 }
--- a/internal/fleet/fresh/fresh_test.go
+++ b/internal/fleet/fresh/fresh_test.go
@@ -7,31 +7,31 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestStoreThatTurnsTheCollectorAway(t *testing.T) {
-	// The store turns the collector away just as all keys of a customer are withdrawn. The others could read it, but
-	// believe the collector for as long as it says nothing: the keys work on for three seconds and more.
+func TestStoreRefusesTheCollector(t *testing.T) {
+	// Guards against withdrawn keys that stay valid for three seconds and more: the store refuses the collector just as all keys of an
+	// organisation are withdrawn, and the other daemons, which could read them, rely on the collector as long as it reports no failure.
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
-		// answered are the times at which the store answers the collector, failed that of its first failure, 0 for none.
-		answered []int
-		failed   int
-		// asked is when the daemon asks the collector, and looked when it looks whether it can rely on it.
-		asked, looked int
-		current       bool
+		// answeredMs are the times at which the store answers the collector, failedMs that of its first failure, 0 for none.
+		answeredMs []int
+		failedMs   int
+		// askedMs is when the daemon asks the collector, checkedMs when it checks whether it can rely on it.
+		askedMs, checkedMs int
+		current            bool
 	}{
-		{"nothing heard", nil, 0, 0, 1, false},
-		{"a watch that ends in time", []int{0, 900}, 0, 1000, 1100, true},
-		{"old when it was told, and not renewed", []int{0}, 0, 1200, 1350, false},
-		{"silent: the age is told, and counts against it", []int{0}, 0, 1290, 1310, false},
-		{"turned away: told at once", []int{0}, 50, 60, 61, false},
-		{"turned away, and served again", []int{0, 300}, 50, 310, 400, true},
+		{"no reply received", nil, 0, 0, 1, false},
+		{"watch ends in time", []int{0, 900}, 0, 1000, 1100, true},
+		{"old when reported, and not renewed", []int{0}, 0, 1200, 1350, false},
+		{"no answer from the store: the reported age counts", []int{0}, 0, 1290, 1310, false},
+		{"refused: reported at once", []int{0}, 50, 60, 61, false},
+		{"refused, then served again", []int{0, 300}, 50, 310, 400, true},
 	} {
-		Convey(c.name, t, func() {
+		Convey(test.name, t, func() {
 			var collector, daemon State
-			failed := c.failed
-			for _, ms := range c.answered {
+			failed := test.failedMs
+			for _, ms := range test.answeredMs {
 				if failed > 0 && ms > failed {
 					collector.Failed()
 					failed = 0
@@ -41,11 +41,11 @@
 			if failed > 0 {
 				collector.Failed()
 			}
-			daemon.ObserveCollector(at(c.asked), collector.Age(at(c.asked)))
-			So(daemon.Current(at(c.looked)), ShouldEqual, c.current)
+			daemon.ObserveCollector(at(test.askedMs), collector.Age(at(test.askedMs)))
+			So(daemon.Current(at(test.checkedMs)), ShouldEqual, test.current)
 		})
 	}
-	Convey("A word that isn't current takes back an earlier one that was", t, func() {
+	Convey("A stale reply revokes an earlier current one", t, func() {
 		var daemon State
 		daemon.ObserveCollector(start, 0)
 		So(daemon.Current(at(100)), ShouldBeTrue)
@@ -54,12 +54,12 @@
 	})
 }
 
-// TestReadersThatVouchForTheCollector guards against all daemons following the store themselves while it turns the collector away and serves
-// other readers: thousands of calls in some seconds.
-func TestReadersThatVouchForTheCollector(t *testing.T) {
+// TestOtherReadersKeepTheCollectorCurrent guards against all daemons following the store themselves while it refuses the collector and
+// serves other readers: thousands of calls within seconds.
+func TestOtherReadersKeepTheCollectorCurrent(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	Convey("What another reader has heard counts as the collector's, as old as it is", t, func() {
+	Convey("Another reader's answer from the store counts as the collector's, with its age", t, func() {
 		var collector, daemon State
 		collector.Answered(at(0))
 		collector.Failed()
@@ -69,7 +69,7 @@
 		daemon.ObserveCollector(at(300), collector.BestAge(at(300)))
 		So(daemon.Current(at(400)), ShouldBeTrue)
 	})
-	Convey("An older word takes nothing back, and the collector's own goes before it", t, func() {
+	Convey("An older answer changes nothing, and the collector's own newer answer takes precedence", t, func() {
 		var collector State
 		collector.ObserveReader(at(200), 0)
 		collector.ObserveReader(at(210), Stale)
