--- a/internal/fleet/catalog/catalog.go
+++ b/internal/fleet/catalog/catalog.go
@@ -6,60 +6,60 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/routing"
 )
 
-// Entry is what is published under one key: an instance, a configuration, or
-// nothing that can be used; the revision is the store's counter at its last change.
+// Entry is what is published under one key: an instance, a configuration, or something unusable. The revision is the store's counter at its
+// last change.
 type Entry struct {
 	Key      string
 	Revision uint64
 	Instance *routing.Instance
 	Config   *routing.Config
 	Removed  bool
-	// Grace is how much longer a removed entry may return, since its end may be due to an outage of the store.
+	// Grace is how much longer a removed entry may return, since an outage of the store may have caused its removal.
 	Grace time.Duration
-	// Fault tells why the entry can't be used; it names no instance then.
+	// Fault says why the entry can't be used; the entry has no instance then.
 	Fault string
 }
 
-// Changes are entries that changed since an earlier revision.
+// Changes has the entries that changed since an earlier revision.
 type Changes struct {
-	// Revision is the store's counter up to which nothing is missing.
+	// Revision is the store's counter up to which no change is missing.
 	Revision uint64
-	// Whole means that every key that exists is among the entries.
+	// Whole means that every existing key is among the entries.
 	Whole   bool
 	Entries []Entry
 }
 
-// Catalog is what one daemon knows; it belongs to the control thread.
+// Catalog is what one daemon has received; it is used by one goroutine at a time.
 //
-// The store counts each change with one counter, so what is newer is the same
-// for every daemon: it takes entries from the store and from other daemons alike, and never goes back.
+// The store numbers all changes with one counter, so all daemons agree on what is newer: a catalog takes entries from the store and from
+// other daemons alike, and never goes back to an older one.
 type Catalog struct {
-	config   *routing.Config
-	configAt uint64
-	revision uint64
-	entries  map[string]Entry
-	// removed has the revisions of keys that are gone, so that an older entry from elsewhere doesn't bring them back.
+	config         *routing.Config
+	configRevision uint64
+	revision       uint64
+	entries        map[string]Entry
+	// removed has the revisions of removed keys, so that an older entry from another daemon doesn't restore them.
 	removed map[string]uint64
-	// lapsing are entries that were found missing right after an outage.
-	lapsing map[string]lapse
+	// pendingRemovals has the entries that were found missing right after an outage.
+	pendingRemovals map[string]pendingRemoval
 }
 
-// lapse is the end of an entry that may return: the revision at which it ended, and the time until which it is kept.
-type lapse struct {
+// pendingRemoval is the removal of an entry that may return: the revision of its removal, and the time until which the entry is kept.
+type pendingRemoval struct {
 	revision uint64
-	end      time.Time
+	graceEnd time.Time
 }
 
-// ReturnTime is how long after the return of the store an entry that its outage made lapse may be missing: live instances
-// are back after about 2 s.
+// ReturnTime is how long after an outage of the store an entry that expired during the outage may be missing: live instances have
+// registered again after about 2 s.
 const ReturnTime = 2 * time.Second
 
 // New returns an empty catalog.
 func New() *Catalog {
-	return &Catalog{entries: map[string]Entry{}, removed: map[string]uint64{}, lapsing: map[string]lapse{}}
+	return &Catalog{entries: map[string]Entry{}, removed: map[string]uint64{}, pendingRemovals: map[string]pendingRemoval{}}
 }
 
-// Revision returns the counter up to which nothing is missing; 0 means that nothing was read yet.
+// Revision returns the store's counter up to which no change is missing; 0 means that nothing was read yet.
 func (c *Catalog) Revision() uint64 { return c.revision }
 
 // Version returns the version of the configuration in force; 0 means none.
@@ -70,154 +70,154 @@
 	return c.config.Version
 }
 
-// Outcome tells what an offer has changed.
+// Outcome says what an Offer has changed.
 type Outcome struct {
-	// Configured means that another configuration is in force.
+	// Configured means that a newer configuration came into force.
 	Configured bool
 	// Instances means that the set of instances or one of them changed.
 	Instances bool
-	// Rejected tells why a newer configuration is not in force; the last one stays.
+	// Rejected says why a newer configuration did not come into force; the last one stays.
 	Rejected error
-	// Faults tell what of the configuration in force can't be served.
+	// Faults says what of the configuration in force can't be served.
 	Faults []string
 }
 
-// Offer takes in changes. Until the time back, entries that are missing may return: the store was away until
-// ReturnTime before it, and dropping what lapsed meanwhile would take every service down. Entries that are missing later are gone.
-func (c *Catalog) Offer(ch Changes, now, back time.Time) Outcome {
+// Offer applies changes. Until graceEnd, which is ReturnTime after an outage of the store, missing entries are kept, since they may return:
+// removing all that expired in the outage would take every service down. Entries that are missing later are removed at once.
+func (c *Catalog) Offer(changes Changes, now, graceEnd time.Time) Outcome {
 	var out Outcome
-	if ch.Whole && ch.Revision < c.revision {
+	if changes.Whole && changes.Revision < c.revision {
 		return out
 	}
-	seen := map[string]bool{}
-	for _, e := range ch.Entries {
-		seen[e.Key] = true
-		c.take(e, now, back, &out)
+	present := map[string]bool{}
+	for _, entry := range changes.Entries {
+		present[entry.Key] = true
+		c.applyEntry(entry, now, graceEnd, &out)
 	}
-	if ch.Whole {
-		for key, e := range c.entries {
-			if !seen[key] && e.Revision <= ch.Revision {
-				c.remove(key, ch.Revision, now, back, &out)
+	if changes.Whole {
+		for key, entry := range c.entries {
+			if !present[key] && entry.Revision <= changes.Revision {
+				c.remove(key, changes.Revision, now, graceEnd, &out)
 			}
 		}
 	}
-	c.revision = max(c.revision, ch.Revision)
+	c.revision = max(c.revision, changes.Revision)
 	return out
 }
 
-func (c *Catalog) take(e Entry, now, back time.Time, out *Outcome) {
-	if e.Config != nil {
-		c.configure(e, out)
+func (c *Catalog) applyEntry(entry Entry, now, graceEnd time.Time, out *Outcome) {
+	if entry.Config != nil {
+		c.configure(entry, out)
 		return
 	}
-	old, known := c.entries[e.Key]
-	if known && old.Revision >= e.Revision || c.removed[e.Key] >= e.Revision {
+	old, known := c.entries[entry.Key]
+	if known && old.Revision >= entry.Revision || c.removed[entry.Key] >= entry.Revision {
 		return
 	}
-	if e.Removed {
-		if e.Grace > 0 {
-			back = now.Add(e.Grace)
+	if entry.Removed {
+		if entry.Grace > 0 {
+			graceEnd = now.Add(entry.Grace)
 		}
-		c.remove(e.Key, e.Revision, now, back, out)
+		c.remove(entry.Key, entry.Revision, now, graceEnd, out)
 		return
 	}
-	delete(c.lapsing, e.Key)
-	delete(c.removed, e.Key)
-	c.entries[e.Key] = e
+	delete(c.pendingRemovals, entry.Key)
+	delete(c.removed, entry.Key)
+	c.entries[entry.Key] = entry
 	out.Instances = true
 }
 
-// configure puts the configuration in force if it is newer and sound.
-func (c *Catalog) configure(e Entry, out *Outcome) {
-	if e.Config.Version <= c.Version() {
+// configure puts a configuration in force if it is newer and valid.
+func (c *Catalog) configure(entry Entry, out *Outcome) {
+	if entry.Config.Version <= c.Version() {
 		return
 	}
-	if err := e.Config.Check(); err != nil {
+	if err := entry.Config.Check(); err != nil {
 		out.Rejected = err
 		return
 	}
-	out.Faults = append(e.Config.Settle(), e.Config.Notes...)
-	c.config, c.configAt = e.Config, e.Revision
+	out.Faults = append(entry.Config.Settle(), entry.Config.Notes...)
+	c.config, c.configRevision = entry.Config, entry.Revision
 	out.Configured = true
 }
 
-func (c *Catalog) remove(key string, revision uint64, now, back time.Time, out *Outcome) {
+func (c *Catalog) remove(key string, revision uint64, now, graceEnd time.Time, out *Outcome) {
 	_, known := c.entries[key]
-	if known && now.Before(back) {
-		if _, waits := c.lapsing[key]; !waits {
-			c.lapsing[key] = lapse{revision: revision, end: back}
+	if known && now.Before(graceEnd) {
+		if _, pending := c.pendingRemovals[key]; !pending {
+			c.pendingRemovals[key] = pendingRemoval{revision: revision, graceEnd: graceEnd}
 		}
 		return
 	}
 	c.removed[key] = max(c.removed[key], revision)
-	delete(c.lapsing, key)
+	delete(c.pendingRemovals, key)
 	if known {
 		delete(c.entries, key)
 		out.Instances = true
 	}
 }
 
-// Expire drops the instances that did not return in time, and reports whether there were any.
+// Expire removes the instances that did not return in time, and reports whether there were any.
 func (c *Catalog) Expire(now time.Time) bool {
 	dropped := false
-	for key, l := range c.lapsing {
-		if now.Before(l.end) {
+	for key, pending := range c.pendingRemovals {
+		if now.Before(pending.graceEnd) {
 			continue
 		}
-		c.removed[key] = max(c.removed[key], l.revision)
-		delete(c.lapsing, key)
+		c.removed[key] = max(c.removed[key], pending.revision)
+		delete(c.pendingRemovals, key)
 		delete(c.entries, key)
 		dropped = true
 	}
 	return dropped
 }
 
-// Since returns all that changed after the revision, for another daemon. Entries that may return are among it: told of only when
-// they are dropped, they would be older than what the other has by then, and it would never hear of their end.
+// Since returns all changes after the revision, for another daemon. They include the pending removals. If these were sent only once they
+// are final, their revisions would be older than what the other daemon has by then, and it would never receive them.
 func (c *Catalog) Since(version, revision uint64, now time.Time) Changes {
-	ch := Changes{Revision: c.revision}
+	changes := Changes{Revision: c.revision}
 	if c.Version() > version {
-		ch.Entries = append(ch.Entries, Entry{Revision: c.configAt, Config: c.config})
+		changes.Entries = append(changes.Entries, Entry{Revision: c.configRevision, Config: c.config})
 	}
-	for _, e := range c.entries {
-		if e.Revision > revision {
-			ch.Entries = append(ch.Entries, e)
+	for _, entry := range c.entries {
+		if entry.Revision > revision {
+			changes.Entries = append(changes.Entries, entry)
 		}
 	}
-	for key, l := range c.lapsing {
-		if l.revision > revision {
-			ch.Entries = append(ch.Entries, Entry{Key: key, Revision: l.revision, Removed: true, Grace: max(l.end.Sub(now), 0)})
+	for key, pending := range c.pendingRemovals {
+		if pending.revision > revision {
+			changes.Entries = append(changes.Entries, Entry{Key: key, Revision: pending.revision, Removed: true, Grace: max(pending.graceEnd.Sub(now), 0)})
 		}
 	}
-	for key, at := range c.removed {
-		if at > revision {
-			ch.Entries = append(ch.Entries, Entry{Key: key, Revision: at, Removed: true})
+	for key, removedRevision := range c.removed {
+		if removedRevision > revision {
+			changes.Entries = append(changes.Entries, Entry{Key: key, Revision: removedRevision, Removed: true})
 		}
 	}
-	return ch
+	return changes
 }
 
 // Config returns the configuration in force, or nil; it must not be changed.
 func (c *Catalog) Config() *routing.Config { return c.config }
 
-// Instances returns the instances that can be used, one for each address.
+// Instances returns the usable instances, one for each address.
 //
-// The address of an instance that is gone is given to another. Until the old
-// entry ends both name it, and requests sent for the old one would be turned away there.
+// The address of a stopped instance may be reused by another. Until the old entry expires both name the address, and requests for the old
+// instance would be refused by the new one.
 func (c *Catalog) Instances() []routing.Instance {
 	newest := map[string]Entry{}
-	for _, e := range c.entries {
-		if e.Instance == nil {
+	for _, entry := range c.entries {
+		if entry.Instance == nil {
 			continue
 		}
-		at := e.Instance.Address.String()
-		if other, taken := newest[at]; !taken || newer(e, other) {
-			newest[at] = e
+		address := entry.Instance.Address.String()
+		if other, known := newest[address]; !known || newer(entry, other) {
+			newest[address] = entry
 		}
 	}
 	all := make([]routing.Instance, 0, len(newest))
-	for _, e := range newest {
-		all = append(all, *e.Instance)
+	for _, entry := range newest {
+		all = append(all, *entry.Instance)
 	}
 	return all
 }
--- a/internal/fleet/catalog/doc.go
+++ b/internal/fleet/catalog/doc.go
@@ -1,3 +1,3 @@
-// Package catalog keeps the newest configuration and the live instances that a
-// daemon knows of, from the store where they are published and from other daemons.
+// Package catalog keeps the newest configuration and the live instances that a daemon has received, from the configuration store or from
+// other daemons.
 package catalog
--- a/internal/fleet/catalog/view.go
+++ b/internal/fleet/catalog/view.go
@@ -8,7 +8,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/routing"
 )
 
-// View is an immutable state of a catalog, which traffic reads without locks.
+// View is an immutable snapshot of a catalog, which requests read without locks.
 type View struct {
 	Table    *routing.Table
 	Revision uint64
@@ -19,40 +19,40 @@
 	hosts     []netip.Addr
 }
 
-// View returns the present state; the table is made anew only when another configuration is in force.
-func (c *Catalog) View(before *View) *View {
-	v := &View{Revision: c.revision, services: map[string][]routing.Instance{}, byID: map[string]routing.Instance{}}
+// View returns a snapshot; its table is rebuilt only if the configuration is not the previous view's.
+func (c *Catalog) View(previous *View) *View {
+	view := &View{Revision: c.revision, services: map[string][]routing.Instance{}, byID: map[string]routing.Instance{}}
 	switch {
 	case c.config == nil:
-	case before != nil && before.Table != nil && before.Table.Version() == c.config.Version:
-		v.Table = before.Table
+	case previous != nil && previous.Table != nil && previous.Table.Version() == c.config.Version:
+		view.Table = previous.Table
 	default:
-		v.Table = routing.NewTable(*c.config)
+		view.Table = routing.NewTable(*c.config)
 	}
-	v.instances = c.Instances()
-	for _, i := range v.instances {
-		v.services[i.Service] = append(v.services[i.Service], i)
-		v.byID[i.ID] = i
-		v.hosts = append(v.hosts, i.Address.Addr())
+	view.instances = c.Instances()
+	for _, inst := range view.instances {
+		view.services[inst.Service] = append(view.services[inst.Service], inst)
+		view.byID[inst.ID] = inst
+		view.hosts = append(view.hosts, inst.Address.Addr())
 	}
-	for _, all := range v.services {
+	for _, all := range view.services {
 		slices.SortFunc(all, func(a, b routing.Instance) int { return cmp.Compare(a.ID, b.ID) })
 	}
-	slices.SortFunc(v.hosts, netip.Addr.Compare)
-	v.hosts = slices.Compact(v.hosts)
-	return v
+	slices.SortFunc(view.hosts, netip.Addr.Compare)
+	view.hosts = slices.Compact(view.hosts)
+	return view
 }
 
-// InstancesOf returns the instances of a service, draining ones too; the slice must not be changed.
+// InstancesOf returns the instances of a service, including draining ones; the slice must not be changed.
 func (v *View) InstancesOf(service string) []routing.Instance { return v.services[service] }
 
 // Instances returns all instances; the slice must not be changed.
 func (v *View) Instances() []routing.Instance { return v.instances }
 
-// Instance returns the instance with the id, or false.
+// Instance returns the instance with the ID, or false.
 func (v *View) Instance(id string) (routing.Instance, bool) {
-	i, ok := v.byID[id]
-	return i, ok
+	inst, ok := v.byID[id]
+	return inst, ok
 }
 
 // At returns the instance at the address, or false.
