--- a/internal/app/router/beats.go
+++ b/internal/app/router/beats.go
@@ -139,7 +139,7 @@
 	}
 	hb := r.heartbeat(topology.view, sent)
 	if len(collectors) > 0 && collectors[0] != self {
-		hb.Heard = r.collector.Heard(sent)
+		hb.Reporters = r.collector.Reporters(sent)
 	}
 	for _, host := range collectors {
 		if reply, ok := r.send(host, hb); ok {
@@ -157,7 +157,7 @@
 	service, work := router.executor.report(leaving, now)
 	hb := collect.Heartbeat{
 		From: router.settings.Peers, Version: version(view), Revision: view.Revision, StoreAge: router.control.fresh.Age(now),
-		Up: now.Sub(r.startedAt), Counts: router.quota.Report(now),
+		CountedFor: now.Sub(r.startedAt), Counts: router.quota.Report(now),
 		Report: demand.Report{
 			Daemons: 1, Services: map[string]demand.Service{router.settings.Service: service}, Demand: router.shedder.Demand(now), RetryRates: router.repeats.Report(now),
 		},
--- a/internal/app/router/collecting.go
+++ b/internal/app/router/collecting.go
@@ -39,12 +39,12 @@
 	return min(age, r.router.control.fresh.CollectorAge(now))
 }
 
-// Planned logs a plan that sheds load.
-func (r *reporter) Planned(shortages []allot.Shortage, classes int) {
+// PlanLimited logs a plan that sheds load.
+func (r *reporter) PlanLimited(shortages []allot.Shortage, classes int) {
 	r.router.log.WithFields(logrus.Fields{"shortages": shortages, "lanes": classes}).Info("plan")
 }
 
-// Leaves logs that a daemon is shutting down.
-func (r *reporter) Leaves(host netip.Addr) {
+// DaemonLeaving logs that a daemon is shutting down.
+func (r *reporter) DaemonLeaving(host netip.Addr) {
 	r.router.log.WithField("host", host.String()).Info("daemon leaves")
 }
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -153,9 +153,9 @@
 		now := time.Now()
 		graceEnd := time.Time{}
 		if from == storeName && !c.lastOutage.IsZero() {
-			graceEnd = c.lastOutage.Add(catalog.ReturnTime)
+			graceEnd = c.lastOutage.Add(catalog.ReturnGrace)
 		}
-		outcome := c.catalog.Offer(changes, now, graceEnd)
+		outcome := c.catalog.Apply(changes, now, graceEnd)
 		for _, entry := range changes.Entries {
 			if entry.Fault != "" {
 				c.router.log.WithFields(logrus.Fields{"key": entry.Key, "revision": entry.Revision, "fault": entry.Fault}).Warn("entry not used")
--- a/internal/app/router/watch.go
+++ b/internal/app/router/watch.go
@@ -15,7 +15,7 @@
 
 const (
 	// watchDuration is the length of one watch. A connection that no longer delivers anything is noticed when the watch is over, and a
-	// change must be in force within 2 s; see fresh.Limit.
+	// change must be in force within 2 s; see fresh.MaxAge.
 	watchDuration = 900 * time.Millisecond
 	// changesPause is the wait after changes arrived: in a large fleet, instances that start or leave write several times a second, and
 	// each change would cost a call by every reader. What must be in force within 2 s can wait that long.
@@ -50,7 +50,7 @@
 		now = time.Now()
 		switch {
 		case err == nil:
-			c.fresh.Answered(now)
+			c.fresh.RecordAnswer(now)
 			c.storeRecovered(failingSince, now)
 			failingSince, pause = time.Time{}, minRetryPause
 			revision = changes.Revision
@@ -61,7 +61,7 @@
 		case errors.Is(err, ErrHistoryGone):
 			revision = 0
 		default:
-			c.fresh.Failed()
+			c.fresh.RecordFailure()
 			if failingSince.IsZero() {
 				failingSince = now
 			}
@@ -95,7 +95,7 @@
 func (c *control) loadFromSeed(seed netip.AddrPort) uint64 {
 	sent := time.Now()
 	reply, ok := c.requestChanges(seed, seedTimeout)
-	if !ok || !reply.Whole || reply.StoreAge >= fresh.Limit {
+	if !ok || !reply.Whole || reply.StoreAge >= fresh.MaxAge {
 		return 0
 	}
 	c.applyChanges(reply.Changes, seed.String())
--- a/internal/fleet/catalog/catalog.go
+++ b/internal/fleet/catalog/catalog.go
@@ -50,9 +50,9 @@
 	graceEnd time.Time
 }
 
-// ReturnTime is how long after an outage of the store an entry that expired during the outage may be missing: live instances have
+// ReturnGrace is how long after an outage of the store an entry that expired during the outage may be missing: live instances have
 // registered again after about 2 s.
-const ReturnTime = 2 * time.Second
+const ReturnGrace = 2 * time.Second
 
 // New returns an empty catalog.
 func New() *Catalog {
@@ -70,7 +70,7 @@
 	return c.config.Version
 }
 
-// Outcome says what an Offer has changed.
+// Outcome says what a call of Apply has changed.
 type Outcome struct {
 	// Configured means that a newer configuration came into force.
 	Configured bool
@@ -82,9 +82,10 @@
 	Faults []string
 }
 
-// Offer applies changes. Until graceEnd, which is ReturnTime after an outage of the store, missing entries are kept, since they may return:
-// removing all that expired in the outage would take every service down. Entries that are missing later are removed at once.
-func (c *Catalog) Offer(changes Changes, now, graceEnd time.Time) Outcome {
+// Apply merges changes into the catalog. Until graceEnd, which is ReturnGrace after an outage of the store, missing entries are kept, since
+// they may return: removing all that expired in the outage would take every service down. Entries that are missing later are removed at
+// once.
+func (c *Catalog) Apply(changes Changes, now, graceEnd time.Time) Outcome {
 	var out Outcome
 	if changes.Whole && changes.Revision < c.revision {
 		return out
--- a/internal/fleet/catalog/catalog_test.go
+++ b/internal/fleet/catalog/catalog_test.go
@@ -31,13 +31,13 @@
 	// all instances are live, and without the grace period they would be unknown until they have registered again.
 	Convey("Entries that are missing right after an outage are kept until live instances must be back, and then removed", t, func() {
 		c := New()
-		c.Offer(Changes{Revision: 5, Whole: true, Entries: []Entry{instance("a", "10.0.0.1:80", 3), instance("b", "10.0.0.2:80", 4)}}, start, time.Time{})
+		c.Apply(Changes{Revision: 5, Whole: true, Entries: []Entry{instance("a", "10.0.0.1:80", 3), instance("b", "10.0.0.2:80", 4)}}, start, time.Time{})
 		recovered := start.Add(10 * time.Second)
-		graceEnd := recovered.Add(ReturnTime)
-		out := c.Offer(Changes{Revision: 9, Whole: true, Entries: nil}, recovered.Add(50*time.Millisecond), graceEnd)
+		graceEnd := recovered.Add(ReturnGrace)
+		out := c.Apply(Changes{Revision: 9, Whole: true, Entries: nil}, recovered.Add(50*time.Millisecond), graceEnd)
 		So(out.Instances, ShouldBeFalse)
 		So(ids(c), ShouldResemble, map[string]bool{"a": true, "b": true})
-		c.Offer(Changes{Revision: 10, Entries: []Entry{instance("a", "10.0.0.1:80", 10)}}, recovered.Add(time.Second), graceEnd)
+		c.Apply(Changes{Revision: 10, Entries: []Entry{instance("a", "10.0.0.1:80", 10)}}, recovered.Add(time.Second), graceEnd)
 		So(c.Expire(recovered.Add(1900*time.Millisecond)), ShouldBeFalse)
 		So(c.Expire(graceEnd), ShouldBeTrue)
 		So(ids(c), ShouldResemble, map[string]bool{"a": true})
@@ -46,9 +46,9 @@
 	// Only the removal of its entry shows that, and it serves for just two more seconds.
 	Convey("An entry that is removed later is dropped at once", t, func() {
 		c := New()
-		c.Offer(Changes{Revision: 5, Whole: true, Entries: []Entry{instance("a", "10.0.0.1:80", 3)}}, start, time.Time{})
-		graceEnd := start.Add(ReturnTime)
-		out := c.Offer(Changes{Revision: 6, Entries: []Entry{{Key: "i/a", Revision: 6, Removed: true}}}, graceEnd.Add(time.Millisecond), graceEnd)
+		c.Apply(Changes{Revision: 5, Whole: true, Entries: []Entry{instance("a", "10.0.0.1:80", 3)}}, start, time.Time{})
+		graceEnd := start.Add(ReturnGrace)
+		out := c.Apply(Changes{Revision: 6, Entries: []Entry{{Key: "i/a", Revision: 6, Removed: true}}}, graceEnd.Add(time.Millisecond), graceEnd)
 		So(out.Instances, ShouldBeTrue)
 		So(ids(c), ShouldBeEmpty)
 	})
@@ -58,10 +58,10 @@
 	// Guards against sending requests to a stopped instance, because a daemon that was partitioned forwards what it knew before.
 	Convey("Neither an older entry nor a removed one is restored", t, func() {
 		c := New()
-		c.Offer(Changes{Revision: 8, Whole: true, Entries: []Entry{instance("a", "10.0.0.1:80", 7), instance("b", "10.0.0.2:80", 4)}}, start, time.Time{})
-		c.Offer(Changes{Revision: 9, Entries: []Entry{{Key: "i/b", Revision: 9, Removed: true}}}, start, time.Time{})
+		c.Apply(Changes{Revision: 8, Whole: true, Entries: []Entry{instance("a", "10.0.0.1:80", 7), instance("b", "10.0.0.2:80", 4)}}, start, time.Time{})
+		c.Apply(Changes{Revision: 9, Entries: []Entry{{Key: "i/b", Revision: 9, Removed: true}}}, start, time.Time{})
 		old := instance("a", "10.9.9.9:80", 3)
-		out := c.Offer(Changes{Revision: 8, Entries: []Entry{old, instance("b", "10.0.0.2:80", 4)}}, start, time.Time{})
+		out := c.Apply(Changes{Revision: 8, Entries: []Entry{old, instance("b", "10.0.0.2:80", 4)}}, start, time.Time{})
 		So(out.Instances, ShouldBeFalse)
 		So(ids(c), ShouldResemble, map[string]bool{"a": true})
 		So(c.Instances()[0].Address.String(), ShouldEqual, "10.0.0.1:80")
@@ -70,10 +70,10 @@
 	Convey("A daemon forwards what is newer, including removals", t, func() {
 		from, to := New(), New()
 		first := Changes{Revision: 5, Whole: true, Entries: []Entry{instance("a", "10.0.0.1:80", 3), instance("b", "10.0.0.2:80", 4)}}
-		from.Offer(first, start, time.Time{})
-		to.Offer(first, start, time.Time{})
-		from.Offer(Changes{Revision: 7, Entries: []Entry{{Key: "i/a", Revision: 6, Removed: true}, instance("c", "10.0.0.3:80", 7)}}, start, time.Time{})
-		to.Offer(from.Since(to.Version(), to.Revision(), start), start, time.Time{})
+		from.Apply(first, start, time.Time{})
+		to.Apply(first, start, time.Time{})
+		from.Apply(Changes{Revision: 7, Entries: []Entry{{Key: "i/a", Revision: 6, Removed: true}, instance("c", "10.0.0.3:80", 7)}}, start, time.Time{})
+		to.Apply(from.Since(to.Version(), to.Revision(), start), start, time.Time{})
 		So(ids(to), ShouldResemble, map[string]bool{"b": true, "c": true})
 		So(to.Revision(), ShouldEqual, 7)
 	})
@@ -85,11 +85,11 @@
 	Convey("A daemon that fetches a pending removal removes the instance at the same time as the sender", t, func() {
 		from, to := New(), New()
 		first := Changes{Revision: 5, Whole: true, Entries: []Entry{instance("a", "10.0.0.1:80", 3), instance("b", "10.0.0.2:80", 4)}}
-		from.Offer(first, start, time.Time{})
-		to.Offer(first, start, time.Time{})
+		from.Apply(first, start, time.Time{})
+		to.Apply(first, start, time.Time{})
 		graceEnd := start.Add(time.Second)
-		from.Offer(Changes{Revision: 6, Entries: []Entry{{Key: "i/a", Revision: 6, Removed: true}}}, start, graceEnd)
-		to.Offer(from.Since(to.Version(), to.Revision(), start), start, time.Time{})
+		from.Apply(Changes{Revision: 6, Entries: []Entry{{Key: "i/a", Revision: 6, Removed: true}}}, start, graceEnd)
+		to.Apply(from.Since(to.Version(), to.Revision(), start), start, time.Time{})
 		So(to.Revision(), ShouldEqual, 6)
 		So(ids(to), ShouldResemble, map[string]bool{"a": true, "b": true})
 		So(from.Expire(graceEnd), ShouldBeTrue)
@@ -99,12 +99,12 @@
 	Convey("A daemon that fetches a removal after its grace period but before the sender expires it removes the instance at once", t, func() {
 		from, to := New(), New()
 		first := Changes{Revision: 5, Whole: true, Entries: []Entry{instance("a", "10.0.0.1:80", 3)}}
-		from.Offer(first, start, time.Time{})
-		to.Offer(first, start, time.Time{})
+		from.Apply(first, start, time.Time{})
+		to.Apply(first, start, time.Time{})
 		graceEnd := start.Add(time.Second)
-		from.Offer(Changes{Revision: 6, Entries: []Entry{{Key: "i/a", Revision: 6, Removed: true}}}, start, graceEnd)
+		from.Apply(Changes{Revision: 6, Entries: []Entry{{Key: "i/a", Revision: 6, Removed: true}}}, start, graceEnd)
 		asked := graceEnd.Add(50 * time.Millisecond)
-		to.Offer(from.Since(to.Version(), to.Revision(), asked), asked, time.Time{})
+		to.Apply(from.Since(to.Version(), to.Revision(), asked), asked, time.Time{})
 		So(ids(to), ShouldBeEmpty)
 	})
 }
@@ -113,7 +113,7 @@
 	// Guards against requests for a crashed instance that reach another one, which got its address before the first one's entry expired.
 	Convey("Of two entries with one address, only the newer one is used", t, func() {
 		c := New()
-		c.Offer(Changes{Revision: 5, Entries: []Entry{instance("old", "10.0.0.1:80", 3), instance("new", "10.0.0.1:80", 5)}}, start, time.Time{})
+		c.Apply(Changes{Revision: 5, Entries: []Entry{instance("old", "10.0.0.1:80", 3), instance("new", "10.0.0.1:80", 5)}}, start, time.Time{})
 		So(ids(c), ShouldResemble, map[string]bool{"new": true})
 	})
 }
@@ -124,14 +124,14 @@
 		valid := &routing.Config{Version: 7, Services: map[string]routing.Service{"s": {}}, Routes: []routing.Route{
 			{Name: "r", Host: "h", Prefix: "/a/", Parts: []routing.Part{{Service: "s", Weight: 1}}},
 		}}
-		So(c.Offer(Changes{Revision: 2, Entries: []Entry{{Revision: 2, Config: valid}}}, start, time.Time{}).Configured, ShouldBeTrue)
+		So(c.Apply(Changes{Revision: 2, Entries: []Entry{{Revision: 2, Config: valid}}}, start, time.Time{}).Configured, ShouldBeTrue)
 		invalid := *valid
 		invalid.Version, invalid.Services = 9, nil
-		out := c.Offer(Changes{Revision: 3, Entries: []Entry{{Revision: 3, Config: &invalid}}}, start, time.Time{})
+		out := c.Apply(Changes{Revision: 3, Entries: []Entry{{Revision: 3, Config: &invalid}}}, start, time.Time{})
 		So(out.Rejected, ShouldNotBeNil)
 		older := *valid
 		older.Version = 6
-		So(c.Offer(Changes{Revision: 4, Entries: []Entry{{Revision: 4, Config: &older}}}, start, time.Time{}).Configured, ShouldBeFalse)
+		So(c.Apply(Changes{Revision: 4, Entries: []Entry{{Revision: 4, Config: &older}}}, start, time.Time{}).Configured, ShouldBeFalse)
 		So(c.Version(), ShouldEqual, 7)
 	})
 }
--- a/internal/fleet/collect/collector.go
+++ b/internal/fleet/collect/collector.go
@@ -15,12 +15,12 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/graph"
 )
 
-// Notes receives the events that a collector reports.
-type Notes interface {
-	// Planned receives the shortages behind a plan that sheds load and the number of classes that it limits. Calls are rate-limited.
-	Planned(shortages []allot.Shortage, classes int)
-	// Leaves receives the host of a daemon that has started to shut down.
-	Leaves(host netip.Addr)
+// Observer receives the events that a collector reports.
+type Observer interface {
+	// PlanLimited receives the shortages behind a plan that sheds load and the number of classes that it limits. Calls are rate-limited.
+	PlanLimited(shortages []allot.Shortage, classes int)
+	// DaemonLeaving receives the host of a daemon that has started to shut down.
+	DaemonLeaving(host netip.Addr)
 }
 
 // Fleet describes the fleet to a daemon that acts as a collector.
@@ -35,7 +35,7 @@
 // Collector aggregates the heartbeats of other daemons and replies with a plan. Every daemon has one, since any daemon may receive
 // heartbeats.
 type Collector struct {
-	observer Notes
+	observer Observer
 	disabled mechanism.Set
 
 	mu          sync.Mutex
@@ -76,7 +76,7 @@
 )
 
 // New returns a collector without any reports.
-func New(observer Notes, disabled mechanism.Set) *Collector {
+func New(observer Observer, disabled mechanism.Set) *Collector {
 	return &Collector{
 		observer: observer, disabled: disabled, demand: demand.New(), rates: quota.NewPool(), graph: graph.New(), planner: allot.New(),
 		work: map[string]Work{}, leavingBy: map[netip.AddrPort]leavingReport{}, monitor: newHeartbeatMonitor(),
@@ -95,7 +95,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.demand.Update(hb.From, hb.Group, hb.Report, now)
-	c.rates.Update(hb.From, hb.Group, hb.Counts, hb.Up, now)
+	c.rates.Update(hb.From, hb.Group, hb.Counts, hb.CountedFor, now)
 	c.graph.Merge(hb.Calls)
 	for service, work := range hb.Work {
 		c.recordWork(service, hb, work, now)
@@ -186,7 +186,7 @@
 	}
 	if len(plan) > 0 && now.Sub(c.observedAt) > minObserverInterval {
 		c.observedAt = now
-		c.observer.Planned(c.planner.Shortages(), len(plan))
+		c.observer.PlanLimited(c.planner.Shortages(), len(plan))
 	}
 }
 
@@ -221,7 +221,7 @@
 	}
 	for _, host := range hb.Leaving {
 		if !slices.Contains(c.leavingBy[hb.From].hosts, host) {
-			c.observer.Leaves(host)
+			c.observer.DaemonLeaving(host)
 		}
 	}
 	c.leavingBy[hb.From] = leavingReport{hb.Leaving, now}
@@ -266,7 +266,7 @@
 	hb.Group = true
 	hb.Missing = c.monitor.missingOf(members, now)
 	hb.Report = c.demand.Aggregate(now)
-	hb.Counts, hb.Up = c.rates.Totals(now)
+	hb.Counts, hb.CountedFor = c.rates.Totals(now)
 	hb.Work, c.work = c.work, map[string]Work{}
 	hb.Calls = c.graph.Edges().Clone()
 	for from, report := range c.leavingBy {
@@ -276,8 +276,8 @@
 	}
 }
 
-// Heard returns the hosts from whose daemons this collector has recently received heartbeats.
-func (c *Collector) Heard(now time.Time) []netip.Addr {
+// Reporters returns the hosts from whose daemons this collector has recently received heartbeats.
+func (c *Collector) Reporters(now time.Time) []netip.Addr {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.monitor.reachable(now)
--- a/internal/fleet/collect/message.go
+++ b/internal/fleet/collect/message.go
@@ -21,10 +21,10 @@
 	StoreAge time.Duration `msgpack:"storeAge"`
 	// Group means that a collector reports on behalf of its group.
 	Group bool `msgpack:"group"`
-	// Up is how long the sender has been counting, Counts the requests received and admitted in that time, by organisation.
-	Up     time.Duration          `msgpack:"up"`
-	Counts map[string]quota.Count `msgpack:"counts"`
-	Report demand.Report          `msgpack:"report"`
+	// CountedFor is how long the sender has been counting, Counts the requests received and admitted in that time, by organisation.
+	CountedFor time.Duration          `msgpack:"up"`
+	Counts     map[string]quota.Count `msgpack:"counts"`
+	Report     demand.Report          `msgpack:"report"`
 	// Work is what instances have done since the last heartbeat, by service.
 	Work map[string]Work `msgpack:"work"`
 	// Calls has the sub-calls per run of the instance, by route.
@@ -33,8 +33,8 @@
 	Leaving []netip.Addr `msgpack:"leaving"`
 	// Missing has the hosts of the group whose heartbeats are missing.
 	Missing []netip.Addr `msgpack:"silent"`
-	// Heard has the hosts whose daemons sent heartbeats to the sender because they could not reach the collector.
-	Heard []netip.Addr `msgpack:"heard"`
+	// Reporters has the hosts whose daemons sent heartbeats to the sender because they could not reach the collector.
+	Reporters []netip.Addr `msgpack:"heard"`
 }
 
 // Work is what instances of a service have done over some period.
--- a/internal/fleet/collect/model_test.go
+++ b/internal/fleet/collect/model_test.go
@@ -64,9 +64,9 @@
 
 type discardObserver struct{}
 
-func (discardObserver) Planned([]allot.Shortage, int) {}
+func (discardObserver) PlanLimited([]allot.Shortage, int) {}
 
-func (discardObserver) Leaves(netip.Addr) {}
+func (discardObserver) DaemonLeaving(netip.Addr) {}
 
 func newFleet(size, clients int, perSecond float64) *fleet {
 	f := &fleet{
@@ -126,11 +126,11 @@
 		f.sendGroupHeartbeat(d)
 	}
 	hb := Heartbeat{
-		From: d.address, Up: f.now.Sub(d.startedAt), Counts: d.Report(f.now),
+		From: d.address, CountedFor: f.now.Sub(d.startedAt), Counts: d.Report(f.now),
 		Report: demand.Report{Daemons: 1, Services: map[string]demand.Service{"s": {Instances: 1, Saturation: 1, Slots: 10}}},
 	}
 	if collectors[0] != own {
-		hb.Heard = d.Heard(f.now)
+		hb.Reporters = d.Reporters(f.now)
 	}
 	for _, to := range collectors {
 		reply, ok := f.send(d, to, hb)
--- a/internal/fleet/collect/silence.go
+++ b/internal/fleet/collect/silence.go
@@ -40,7 +40,7 @@
 // record notes which hosts a heartbeat proves to be up.
 func (m *heartbeatMonitor) record(hb Heartbeat, now time.Time) {
 	m.lastSeen[hb.From.Addr()] = now
-	for _, host := range hb.Heard {
+	for _, host := range hb.Reporters {
 		m.lastSeen[host] = now
 	}
 	if hb.Group {
--- a/internal/fleet/fresh/fresh.go
+++ b/internal/fleet/fresh/fresh.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Limit is the maximum age of information from the configuration store. A reader's watch is answered at least every 0.9 s even if nothing
+// MaxAge is the maximum age of information from the configuration store. A reader's watch is answered at least every 0.9 s even if nothing
 // changed, and a change must be in force within 2 s: the limit leaves the rest for forwarding from one daemon to the next.
-const Limit = 1300 * time.Millisecond
+const MaxAge = 1300 * time.Millisecond
 
 // Stale is the age that stands for a store that does not answer.
 const Stale = time.Hour
@@ -29,15 +29,15 @@
 	readerAnsweredAt time.Time
 }
 
-// Answered records that the store has answered this daemon.
-func (s *State) Answered(now time.Time) {
+// RecordAnswer records that the store has answered this daemon.
+func (s *State) RecordAnswer(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answeredAt, s.failing = now, false
 }
 
-// Failed records that a call of this daemon to the store has failed.
-func (s *State) Failed() {
+// RecordFailure records that a call of this daemon to the store has failed.
+func (s *State) RecordFailure() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failing = true
@@ -57,7 +57,7 @@
 func (s *State) ObserveCollector(sent time.Time, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.collectorValidUntil = sent.Add(Limit - age)
+	s.collectorValidUntil = sent.Add(MaxAge - age)
 }
 
 // ObserveReader records how long ago the store answered another reader, which has nothing newer than this daemon.
@@ -90,7 +90,7 @@
 	if s.collectorValidUntil.IsZero() {
 		return Stale
 	}
-	return min(max(now.Sub(s.collectorValidUntil.Add(-Limit)), 0), Stale)
+	return min(max(now.Sub(s.collectorValidUntil.Add(-MaxAge)), 0), Stale)
 }
 
 // Current reports whether the collector's last snapshot can still be relied on.
--- a/internal/fleet/fresh/fresh_test.go
+++ b/internal/fleet/fresh/fresh_test.go
@@ -33,13 +33,13 @@
 			failed := test.failedMs
 			for _, ms := range test.answeredMs {
 				if failed > 0 && ms > failed {
-					collector.Failed()
+					collector.RecordFailure()
 					failed = 0
 				}
-				collector.Answered(at(ms))
+				collector.RecordAnswer(at(ms))
 			}
 			if failed > 0 {
-				collector.Failed()
+				collector.RecordFailure()
 			}
 			daemon.ObserveCollector(at(test.askedMs), collector.Age(at(test.askedMs)))
 			So(daemon.Current(at(test.checkedMs)), ShouldEqual, test.current)
@@ -61,8 +61,8 @@
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	Convey("Another reader's answer from the store counts as the collector's, with its age", t, func() {
 		var collector, daemon State
-		collector.Answered(at(0))
-		collector.Failed()
+		collector.RecordAnswer(at(0))
+		collector.RecordFailure()
 		So(collector.BestAge(at(100)), ShouldEqual, Stale)
 		collector.ObserveReader(at(200), 50*time.Millisecond)
 		So(collector.BestAge(at(300)), ShouldEqual, 150*time.Millisecond)
@@ -74,7 +74,7 @@
 		collector.ObserveReader(at(200), 0)
 		collector.ObserveReader(at(210), Stale)
 		So(collector.BestAge(at(300)), ShouldEqual, 100*time.Millisecond)
-		collector.Answered(at(290))
+		collector.RecordAnswer(at(290))
 		So(collector.BestAge(at(300)), ShouldEqual, 10*time.Millisecond)
 	})
 }
--- a/internal/load/mesh/fleet.go
+++ b/internal/load/mesh/fleet.go
@@ -45,9 +45,9 @@
 // quiet takes no notes.
 type quiet struct{}
 
-func (quiet) Planned([]allot.Shortage, int) {}
+func (quiet) PlanLimited([]allot.Shortage, int) {}
 
-func (quiet) Leaves(netip.Addr) {}
+func (quiet) DaemonLeaving(netip.Addr) {}
 
 // Play runs the scene for a while and tells what came of the callers' requests.
 func Play(s Scene, length time.Duration) Result {
