--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -144,7 +144,7 @@
 }
 
 // storeName names the configuration store as the sender of changes. Only its removals get a grace period after an outage: what other
-// daemons have removed is gone, since they have waited.
+// daemons have dropped is final, since they have already waited.
 const storeName = "store"
 
 // applyChanges adds changes to the catalog and publishes the result.
--- a/internal/app/router/owner.go
+++ b/internal/app/router/owner.go
@@ -44,8 +44,8 @@
 	delivered, retryable int
 	// unreachableAt is when the instance last accepted no connection; zero once it has responded since.
 	unreachableAt time.Time
-	// leavingSince is when the instance was first known to be draining; zero while it isn't.
-	leavingSince time.Time
+	// drainingSince is when the instance was first known to be draining; zero while it isn't.
+	drainingSince time.Time
 }
 
 const (
@@ -84,9 +84,9 @@
 	}
 	switch {
 	case !inst.Draining:
-		e.leavingSince = time.Time{}
-	case e.leavingSince.IsZero():
-		e.leavingSince = time.Now()
+		e.drainingSince = time.Time{}
+	case e.drainingSince.IsZero():
+		e.drainingSince = time.Now()
 	}
 	if !e.known || e.current.Incarnation() != inst.Incarnation() || e.current.Slots != inst.Slots {
 		e.gate = newGate(max(inst.Slots, 1))
@@ -99,7 +99,7 @@
 func (e *executor) closedForDrain(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.leavingSince.IsZero() && now.Sub(e.leavingSince) > e.drainTime/2
+	return !e.drainingSince.IsZero() && now.Sub(e.drainingSince) > e.drainTime/2
 }
 
 // gateFor returns the gate for requests to the incarnation of the instance, or false if another incarnation is known to run on this host.
@@ -232,7 +232,7 @@
 	if e.saturationCount > 0 {
 		service.Saturation = e.saturationSum / float64(e.saturationCount)
 	}
-	if e.known && !leaving && e.leavingSince.IsZero() && now.Sub(e.unreachableAt) > unreachableTTL {
+	if e.known && !leaving && e.drainingSince.IsZero() && now.Sub(e.unreachableAt) > unreachableTTL {
 		service.Slots = e.gate.Load().Limit
 	}
 	work := collect.Work{HoldTimes: slices.Collect(maps.Values(e.holdTimes)), Delivered: e.delivered, Retryable: e.retryable}
--- a/internal/fleet/demand/collector.go
+++ b/internal/fleet/demand/collector.go
@@ -47,7 +47,7 @@
 type Service struct {
 	Instances int `msgpack:"instances"`
 	// Saturation is the sum over the instances. The saturation of one is slots in use / slots while some are free; with all in use it is
-	// one plus expected wait / wait unit, so it exceeds 1.
+	// one plus expected wait / wait unit (50 ms in the router), so it exceeds 1.
 	Saturation float64 `msgpack:"fullness"`
 	// Slots is the number of slots that can be used now.
 	Slots int `msgpack:"slots"`
