--- a/internal/app/router/front.go
+++ b/internal/app/router/front.go
@@ -35,7 +35,7 @@
 	// priority is that of the caller's request; a sub-call inherits it.
 	priority call.Priority
 	subcall  bool
-	// root is the route of the caller's request; a sub-call inherits it.
+	// root is the route of the caller's request: inherited for a sub-call, otherwise the request's own.
 	root string
 	// parent is the run on this host's instance that made the sub-call, as far as it is known.
 	parent   *lineage.Run
@@ -127,7 +127,7 @@
 }
 
 // checkAdmission enforces the organisation's rate limit on a caller's request, then sheds the request while a service that it needs is
-// overloaded. Sub-calls always pass: if they were shed, the work on their parents would be wasted.
+// overloaded. Sub-calls always pass: if they were shed, the work done for their parents would be wasted.
 func (r *Router) checkAdmission(req *request) (call.Answer, bool) {
 	if req.subcall {
 		return call.Answer{}, true
--- a/internal/app/router/place.go
+++ b/internal/app/router/place.go
@@ -48,7 +48,7 @@
 }
 
 // lastingAnswer returns the response after a further attempt. If an earlier instance has run the request or may have, it keeps that
-// response over a refusal: otherwise the caller would learn that nothing was run.
+// response over a refusal: otherwise the caller would be told, wrongly, that nothing was run.
 func lastingAnswer(previous, next call.Answer) call.Answer {
 	if previous.Outcome != call.NotRun && next.Outcome == call.NotRun {
 		return previous
