--- a/internal/fleet/ledger/history.go
+++ b/internal/fleet/ledger/history.go
@@ -6,66 +6,72 @@
 	"time"
 )
 
-// History is the hosts of one service as the lists of the last while named them.
+// History keeps the current and the recent host lists of one service.
 //
-// Daemons learn of a new list at different times, so a key may have been held
-// by whom an earlier list named. A list that was skipped, and those before the
-// daemon's start, may have named anybody.
+// Daemons receive a new list at different times, so a key may have been held
+// by a host of an earlier list. A list version that this daemon missed, and those
+// before its start, may have contained any host.
 //
-// A daemon that is cut off goes on with a list that the others have left
-// behind, and would hold keys that are theirs by now. So a list counts only
-// while most of its hosts have lately said that they have the same one. Two
-// lists in a row share most hosts, and each host has one list at a time: the
-// two are never both confirmed for longer than the time that a confirmation
-// lasts, and an earlier list is kept in mind for that time beyond the window.
+// A partitioned daemon keeps using a list that the others have replaced, and
+// would claim keys that they hold by now. So a list is valid only while a
+// majority of its hosts have recently reported the same one. Consecutive
+// lists share most hosts, and each host has one list at a time: the two
+// are never both confirmed for longer than confirmationTTL, so an earlier
+// list is retained for that time beyond the window.
 //
-// Two lists that share few hosts could both be confirmed, when a platform
-// replaces most hosts while the old ones live on, cut off. So an earlier list is
-// kept in mind until so many of its hosts are known to have left it that the
-// others are no majority. Until then a key that one of them would hold is in doubt.
+// Two lists that share few hosts could both be confirmed, when the platform
+// replaces most hosts while the old ones keep running behind a partition. So an
+// earlier list is retained until so many of its hosts have reported a newer list
+// that the others are no majority. Until then a key that one of its hosts
+// would hold is in doubt and not run.
 type History struct {
 	window time.Duration
 
-	mu        sync.Mutex
-	version   uint64
-	lists     []hostList
-	gap       bool
-	gapEnded  time.Time
-	confirmed time.Time
+	mu      sync.Mutex
+	version uint64
+	// lists has the oldest list first and the current one last.
+	lists []hostList
+	// gap means that lists which this daemon missed may still matter.
+	gap bool
+	// gapClosed is when the lists that this daemon may have missed were known from the others' reports; zero means not yet.
+	gapClosed time.Time
+	// confirmedAt is when a majority of the current list's hosts last reported the same list.
+	confirmedAt time.Time
 }
 
 type hostList struct {
 	hosts []string
-	// last is the newest version known to have these hosts.
-	last  uint64
-	ended time.Time
-	// adopted tells that another daemon knew of the list, and this one did not see it.
+	// lastVersion is the newest version known to have these hosts.
+	lastVersion uint64
+	// endedAt is when the list was found to have lost its majority; zero means not yet.
+	endedAt time.Time
+	// adopted means that the list comes from another daemon's report and this daemon missed it.
 	adopted bool
 }
 
-// Past is an earlier list that its hosts may still act on.
+// Past is an earlier host list on which some of its hosts may still act.
 type Past struct {
 	Hosts []string `msgpack:"hosts"`
 	Last  uint64   `msgpack:"last"`
 }
 
-// ListReport is what a daemon said of its lists.
+// ListReport is what a daemon reports of its host lists.
 type ListReport struct {
 	Version uint64   `msgpack:"version"`
 	Hosts   []string `msgpack:"hosts"`
-	// Past are the earlier lists that it keeps in mind and that have not ended.
+	// Past are the earlier lists that it retains and that a majority may still have.
 	Past []Past `msgpack:"past"`
-	// Gap tells that it may have missed lists.
+	// Gap means that it may have missed lists.
 	Gap bool `msgpack:"gap"`
 }
 
-// mostLists bounds the earlier lists kept; beyond it the oldest counts as skipped.
-const mostLists = 64
+// maxLists bounds the lists kept; beyond it the oldest is dropped and counts as missed.
+const maxLists = 64
 
-// NewHistory returns a history that knows no list yet.
+// NewHistory returns a history without lists; window is how long keys are remembered.
 func NewHistory(window time.Duration) *History { return &History{window: window} }
 
-// Observe notes the service's hosts in a version of the list.
+// Observe records the service's hosts in a version of the list.
 func (h *History) Observe(version uint64, hosts []string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -73,171 +79,174 @@
 		return
 	}
 	if version != h.version+1 || len(h.lists) == 0 {
-		h.skip()
+		h.markGap()
 	}
 	h.version = version
-	h.drop(now)
+	h.dropExpired(now)
 	hosts = slices.Sorted(slices.Values(hosts))
 	if n := len(h.lists); n > 0 && slices.Equal(h.lists[n-1].hosts, hosts) {
-		h.lists[n-1].last = version
+		h.lists[n-1].lastVersion = version
 		return
 	}
-	h.confirmed = time.Time{}
-	h.lists = append(h.lists, hostList{hosts: hosts, last: version})
-	if len(h.lists) > mostLists {
+	h.confirmedAt = time.Time{}
+	h.lists = append(h.lists, hostList{hosts: hosts, lastVersion: version})
+	if len(h.lists) > maxLists {
 		h.lists = h.lists[1:]
-		h.skip()
+		h.markGap()
 	}
 }
 
-func (h *History) skip() {
+func (h *History) markGap() {
 	h.gap = true
-	h.gapEnded = time.Time{}
+	h.gapClosed = time.Time{}
 }
 
-// Confirm notes what the others said of their lists.
-func (h *History) Confirm(self string, words map[string]ListReport, now time.Time) {
+// Confirm applies the other daemons' reports on their lists, by host.
+func (h *History) Confirm(self string, reports map[string]ListReport, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	same, whole := h.agreeing(self, words)
+	same, withoutGap := h.countAgreeing(self, reports)
 	if h.gap {
-		h.adopt(words)
+		h.adoptFormerLists(reports)
 	}
-	if 2*same <= len(h.newest()) {
+	if 2*same <= len(h.newestHosts()) {
 		return
 	}
-	h.confirmed = now
-	// Daemons that all missed lists can't tell each other of them, unless none is missing.
-	if h.gap && h.gapEnded.IsZero() && (whole > 0 || same == len(h.newest())) {
-		h.gapEnded = now
+	h.confirmedAt = now
+	// Daemons that all missed lists can't report them to each other. The gap closes once a daemon
+	// without a gap, or every host of the list, has reported.
+	if h.gap && h.gapClosed.IsZero() && (withoutGap > 0 || same == len(h.newestHosts())) {
+		h.gapClosed = now
 	}
 	for i := range len(h.lists) - 1 {
-		if l := &h.lists[i]; l.ended.IsZero() && l.over(self, words) {
-			l.ended = now
+		if l := &h.lists[i]; l.endedAt.IsZero() && l.lostMajority(self, reports) {
+			l.endedAt = now
 		}
 	}
 }
 
-// agreeing counts the newest list's hosts that have it, and those others among them that missed no list.
-func (h *History) agreeing(self string, words map[string]ListReport) (same, whole int) {
-	newest := h.newest()
+// countAgreeing counts the hosts of the current list that have it, and those other than self that also missed no list.
+func (h *History) countAgreeing(self string, reports map[string]ListReport) (same, withoutGap int) {
+	newest := h.newestHosts()
 	for _, host := range newest {
-		word, heard := words[host]
+		report, ok := reports[host]
 		switch {
 		case host == self:
 			same++
-		case heard && slices.Equal(word.Hosts, newest):
+		case ok && slices.Equal(report.Hosts, newest):
 			same++
-			if !word.Gap {
-				whole++
+			if !report.Gap {
+				withoutGap++
 			}
 		}
 	}
-	return same, whole
+	return same, withoutGap
 }
 
-// over reports whether the hosts that may still have the list are no majority of it.
+// lostMajority reports whether the hosts that may still have the list are no majority of its hosts.
 //
-// A daemon's version never falls, so one that has a newer list does not come back to this one.
-func (l *hostList) over(self string, words map[string]ListReport) bool {
-	gone := 0
+// A daemon's version never decreases, so a daemon with a newer list does not return to this one.
+func (l *hostList) lostMajority(self string, reports map[string]ListReport) bool {
+	departed := 0
 	for _, host := range l.hosts {
-		word, heard := words[host]
-		if host == self || heard && word.Version > l.last && !slices.Equal(word.Hosts, l.hosts) {
-			gone++
+		report, ok := reports[host]
+		if host == self || ok && report.Version > l.lastVersion && !slices.Equal(report.Hosts, l.hosts) {
+			departed++
 		}
 	}
-	return 2*gone >= len(l.hosts)
+	return 2*departed >= len(l.hosts)
 }
 
-// adopt takes over the earlier lists that others keep in mind.
-func (h *History) adopt(words map[string]ListReport) {
-	for _, word := range words {
-		for _, past := range word.Past {
-			known := slices.ContainsFunc(h.lists, func(l hostList) bool { return slices.Equal(l.hosts, past.Hosts) })
-			if !known && len(h.lists) < mostLists {
-				h.lists = slices.Insert(h.lists, 0, hostList{hosts: past.Hosts, last: past.Last, adopted: true})
+// adoptFormerLists adds the earlier lists that other daemons retain.
+func (h *History) adoptFormerLists(reports map[string]ListReport) {
+	for _, report := range reports {
+		for _, former := range report.Past {
+			known := slices.ContainsFunc(h.lists, func(l hostList) bool { return slices.Equal(l.hosts, former.Hosts) })
+			if !known && len(h.lists) < maxLists {
+				h.lists = slices.Insert(h.lists, 0, hostList{hosts: former.Hosts, lastVersion: former.Last, adopted: true})
 			}
 		}
 	}
 }
 
-// Report returns what this daemon says of its lists.
+// Report returns this daemon's report on its lists.
 func (h *History) Report() ListReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	w := ListReport{Version: h.version, Hosts: h.newest(), Gap: h.gap}
+	report := ListReport{Version: h.version, Hosts: h.newestHosts(), Gap: h.gap}
 	for i := range len(h.lists) - 1 {
-		if l := h.lists[i]; l.ended.IsZero() {
-			w.Past = append(w.Past, Past{Hosts: l.hosts, Last: l.last})
+		if l := h.lists[i]; l.endedAt.IsZero() {
+			report.Past = append(report.Past, Past{Hosts: l.hosts, Last: l.lastVersion})
 		}
 	}
-	return w
+	return report
 }
 
-// confirmShare is the part of the window for which a confirmation lasts.
-const confirmShare = 2
+// confirmationsPerWindow is the number of confirmation TTLs in a window.
+const confirmationsPerWindow = 2
 
-func (h *History) lasts() time.Duration { return h.window / confirmShare }
+// confirmationTTL returns how long a confirmation of a list is valid.
+func (h *History) confirmationTTL() time.Duration { return h.window / confirmationsPerWindow }
 
-// Confirmed reports whether most hosts have lately had the same list.
+// Confirmed reports whether a majority of the current list's hosts has recently reported the same list.
 func (h *History) Confirmed(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.confirmed.IsZero() && now.Sub(h.confirmed) < h.lasts()
+	return !h.confirmedAt.IsZero() && now.Sub(h.confirmedAt) < h.confirmationTTL()
 }
 
-// drop forgets lists that nobody can have acted on within the window.
-func (h *History) drop(now time.Time) {
-	kept := h.window + h.lasts()
+// dropExpired removes lists on which no daemon can have acted within the window.
+func (h *History) dropExpired(now time.Time) {
+	retention := h.window + h.confirmationTTL()
 	h.lists = slices.DeleteFunc(h.lists, func(l hostList) bool {
-		return !l.ended.IsZero() && now.Sub(l.ended) > kept
+		return !l.endedAt.IsZero() && now.Sub(l.endedAt) > retention
 	})
-	if h.gap && !h.gapEnded.IsZero() && now.Sub(h.gapEnded) > kept {
+	if h.gap && !h.gapClosed.IsZero() && now.Sub(h.gapClosed) > retention {
 		h.gap = false
 	}
 }
 
-func (h *History) newest() []string {
+func (h *History) newestHosts() []string {
 	if len(h.lists) == 0 {
 		return nil
 	}
 	return h.lists[len(h.lists)-1].hosts
 }
 
-// Hosts returns the hosts of the newest list, sorted; the slice must not be changed.
+// Hosts returns the hosts of the current list, sorted; the slice must not be changed.
 func (h *History) Hosts() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.newest()
+	return h.newestHosts()
 }
 
-// Required returns the daemons that may have held the key within the window.
-func (h *History) Required(k Key, now time.Time) []string {
+// Required returns the daemons that may have held the key within the window: the key's holder in
+// each list. While a list may have been missed, any host of the lists that this daemon saw counts.
+func (h *History) Required(key Key, now time.Time) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.drop(now)
-	var all []string
+	h.dropExpired(now)
+	var hosts []string
 	for _, l := range h.lists {
 		if h.gap && !l.adopted {
-			all = append(all, l.hosts...)
-		} else if holder := Holder(k, l.hosts); holder != "" {
-			all = append(all, holder)
+			hosts = append(hosts, l.hosts...)
+		} else if holder := Holder(key, l.hosts); holder != "" {
+			hosts = append(hosts, holder)
 		}
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
+	slices.Sort(hosts)
+	return slices.Compact(hosts)
 }
 
-// Everyone returns all hosts that the lists of the window named.
+// Everyone returns the hosts of all retained lists, sorted.
 func (h *History) Everyone(now time.Time) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.drop(now)
-	var all []string
+	h.dropExpired(now)
+	var hosts []string
 	for _, l := range h.lists {
-		all = append(all, l.hosts...)
+		hosts = append(hosts, l.hosts...)
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
+	slices.Sort(hosts)
+	return slices.Compact(hosts)
 }
--- a/internal/fleet/ledger/key.go
+++ b/internal/fleet/ledger/key.go
@@ -8,17 +8,17 @@
 	"github.com/google/uuid"
 )
 
-// Key names one request that its caller may repeat; it holds within one organisation and operation.
+// Key identifies one request that its caller may retry; it is unique within one organisation and operation.
 type Key struct {
 	Organisation string `msgpack:"organisation"`
 	Operation    string `msgpack:"operation"`
 	Text         string `msgpack:"text"`
 }
 
-// Fingerprint tells a repeat from another request that was given the same key.
+// Fingerprint distinguishes a client retry from another request with the same key.
 type Fingerprint [sha256.Size]byte
 
-// NewFingerprint returns the print of a request.
+// NewFingerprint returns the fingerprint of a request.
 func NewFingerprint(method, path string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{method, path} {
@@ -29,33 +29,33 @@
 	return Fingerprint(h.Sum(nil))
 }
 
-// Holder returns the host that holds the key, the same for all daemons with the same hosts, or "".
+// Holder returns the host that holds the key, or "" without hosts; daemons with the same hosts get the same holder.
 //
-// It is a rendezvous hash: a host that joins or goes moves its own keys only.
+// It is a rendezvous hash: a host that joins or leaves changes the holder of its own keys only.
 func Holder(k Key, hosts []string) string {
-	best, most := "", uint64(0)
+	holder, maxWeight := "", uint64(0)
 	for _, host := range hosts {
 		weight := xxhash.Sum64String(host + "\x00" + k.Organisation + "\x00" + k.Operation + "\x00" + k.Text)
-		if best == "" || weight > most || (weight == most && host < best) {
-			best, most = host, weight
+		if holder == "" || weight > maxWeight || (weight == maxWeight && host < holder) {
+			holder, maxWeight = host, weight
 		}
 	}
-	return best
+	return holder
 }
 
-// Skew is the greatest difference assumed between a caller's clock and a daemon's.
+// Skew is the maximum difference assumed between a caller's clock and a daemon's.
 const Skew = 2 * time.Second
 
-const uuidTimeOrdered = 7
+const uuidVersionTimeOrdered = 7
 
-// Age returns how long ago the key can have been used first, at most.
+// Age returns the maximum time since the key can have been used first.
 //
-// A UUID of version 7 tells when it was made, so that a daemon which lost its
-// memory knows a new key from one that may have come before. Any other key may
-// be as old as the window in which callers repeat.
+// A UUID of version 7 contains its creation time, so that a daemon without
+// records from before its start can still recognise a new key. Any other key may
+// be as old as the window in which callers retry.
 func (k Key) Age(now time.Time, window time.Duration) time.Duration {
 	id, err := uuid.Parse(k.Text)
-	if err != nil || id.Version() != uuidTimeOrdered {
+	if err != nil || id.Version() != uuidVersionTimeOrdered {
 		return window
 	}
 	seconds, nanos := id.Time().UnixTime()
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -8,69 +8,71 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Ledger is one daemon's memory of keys, bounded in keys, bytes and time.
+// Ledger is one daemon's record of idempotency keys, bounded in keys, bytes and time.
 //
-// It is for callers that repeat a charge because its answer was late, and for
-// floods of new keys: when it is full it takes no more, since forgetting a key
-// early would let a repeat run again. One organisation can fill half of it, so
-// that the others' requests are still taken.
+// It handles callers that retry a charge because its response was late, and
+// floods of new keys: when it is full it accepts no more, since forgetting a key
+// early would let a client retry run the request twice. One organisation can
+// fill at most half of it, so that other organisations' requests are still accepted.
 type Ledger struct {
-	window time.Duration
-	keys   int
-	bytes  int
-
-	mu       sync.Mutex
-	born     time.Time
-	entries  map[Key]*entry
-	order    *list.List
-	held     int
-	perOrg   map[string]int
-	legacies map[string]legacy
-}
-
-// entry is what is known of one key.
+	window   time.Duration
+	maxKeys  int
+	maxBytes int
+
+	mu      sync.Mutex
+	started time.Time
+	entries map[Key]*entry
+	// order has the entries by expiry, the earliest first.
+	order               *list.List
+	answerBytes         int
+	keysPerOrganisation map[string]int
+	// inherited says what leaving daemons handed over, by host.
+	inherited map[string]inheritance
+}
+
+// entry is the record of one key.
 type entry struct {
 	key         Key
 	fingerprint Fingerprint
 	state       State
 	answer      call.Answer
-	kept        bool
+	hasAnswer   bool
 	done        chan struct{}
-	until       time.Time
-	at          *list.Element
+	expires     time.Time
+	element     *list.Element
 
-	// moves are the daemons that asked for the key, with the time when each first did.
-	moves map[string]time.Time
+	// transfers are the daemons that recalled the key, with the time of each one's first recall.
+	transfers map[string]time.Time
 }
 
-// legacy is the memory that a daemon passed on when it left.
-type legacy struct {
-	since time.Time
-	until time.Time
+// inheritance says how far back the records reach that a leaving daemon handed over.
+type inheritance struct {
+	coveredSince time.Time
+	expires      time.Time
 }
 
-// New returns an empty ledger that remembers each key for the window, at most so many keys and bytes of answers.
-func New(window time.Duration, keys, bytes int, now time.Time) *Ledger {
+// New returns an empty ledger that remembers each key for the window, with at most maxKeys keys and maxBytes of response bodies.
+func New(window time.Duration, maxKeys, maxBytes int, now time.Time) *Ledger {
 	return &Ledger{
-		window: window, keys: keys, bytes: bytes, born: now,
-		entries: map[Key]*entry{}, order: list.New(), perOrg: map[string]int{}, legacies: map[string]legacy{},
+		window: window, maxKeys: maxKeys, maxBytes: maxBytes, started: now,
+		entries: map[Key]*entry{}, order: list.New(), keysPerOrganisation: map[string]int{}, inherited: map[string]inheritance{},
 	}
 }
 
-// Ticket is a request's part in a key's story.
+// Ticket is the result of a request's claim to its key.
 type Ticket struct {
 	Claim  Claim
 	Answer call.Answer
-	// Done is closed when the request that has the key is over.
+	// Done is closed when the running request with this key has ended.
 	Done <-chan struct{}
-	// Moves are the daemons that the key went to before; if there are any, the others must be asked.
+	// Moves are the daemons that recalled the key earlier; if there are any, the key must be recalled from the others.
 	Moves []Move
-	// Wait is when there may be room again.
+	// Wait is the time until there may be capacity for a new key.
 	Wait time.Duration
 }
 
 // Begin claims a key for a request.
-func (l *Ledger) Begin(k Key, p Fingerprint, now time.Time) Ticket {
+func (l *Ledger) Begin(k Key, fingerprint Fingerprint, now time.Time) Ticket {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
@@ -78,9 +80,9 @@
 	if !ok {
 		e, ok = l.add(k, now)
 		if !ok {
-			return Ticket{Claim: Full, Wait: l.roomIn(now)}
+			return Ticket{Claim: Full, Wait: l.nextExpiry(now)}
 		}
-	} else if e.state != Moved && e.fingerprint != p {
+	} else if e.state != Moved && e.fingerprint != fingerprint {
 		return Ticket{Claim: Mismatched}
 	}
 	switch e.state {
@@ -92,20 +94,20 @@
 		return Ticket{Claim: Doubtful}
 	}
 	e.state = Running
-	e.fingerprint = p
+	e.fingerprint = fingerprint
 	e.done = make(chan struct{})
-	return Ticket{Claim: Begun, Moves: e.moved(now)}
+	return Ticket{Claim: Begun, Moves: e.transferList(now)}
 }
 
 func (l *Ledger) replay(e *entry) Ticket {
-	if !e.kept {
+	if !e.hasAnswer {
 		return Ticket{Claim: Doubtful}
 	}
 	return Ticket{Claim: Answered, Answer: e.answer}
 }
 
-// Finish ends the run that Begin allowed. A request that was not run leaves nothing behind.
-func (l *Ledger) Finish(k Key, a call.Answer, now time.Time) {
+// Finish records the result of the request that claimed the key. A request that was not run leaves no record.
+func (l *Ledger) Finish(k Key, answer call.Answer, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e, ok := l.entries[k]
@@ -113,97 +115,98 @@
 		return
 	}
 	close(e.done)
-	l.touch(e, now)
-	switch a.Outcome {
+	l.renew(e, now)
+	switch answer.Outcome {
 	case call.NotRun:
-		l.rest(e)
+		l.reset(e)
 	case call.Whole:
 		e.state = Finished
-		l.keep(e, a)
+		l.keepAnswer(e, answer)
 	default:
 		e.state = Lost
 	}
 }
 
-// Release gives a key back whose request was not let run.
+// Release ends the claim of a request that must not run.
 func (l *Ledger) Release(k Key, now time.Time) {
 	l.Finish(k, call.Refuse(call.Repeated, 0), now)
 }
 
-// rest puts an entry back to what it was before its request.
-func (l *Ledger) rest(e *entry) {
-	if len(e.moves) == 0 {
+// reset restores an entry to its state before the request claimed it.
+func (l *Ledger) reset(e *entry) {
+	if len(e.transfers) == 0 {
 		l.remove(e)
 		return
 	}
 	e.state = Moved
 }
 
-// keep holds on to an answer if there is room; a repeat of one that is not kept is told that the outcome is unknown.
-func (l *Ledger) keep(e *entry, a call.Answer) {
-	if l.held+len(a.Body) > l.bytes {
+// keepAnswer stores a response if there is capacity; without it, a client retry is answered that the outcome is unknown.
+func (l *Ledger) keepAnswer(e *entry, answer call.Answer) {
+	if l.answerBytes+len(answer.Body) > l.maxBytes {
 		return
 	}
-	e.answer = a
-	e.kept = true
-	l.held += len(a.Body)
+	e.answer = answer
+	e.hasAnswer = true
+	l.answerBytes += len(answer.Body)
 }
 
 func (l *Ledger) add(k Key, now time.Time) (*entry, bool) {
-	if len(l.entries) >= l.keys || l.perOrg[k.Organisation] >= l.keys/2 {
+	if len(l.entries) >= l.maxKeys || l.keysPerOrganisation[k.Organisation] >= l.maxKeys/2 {
 		return nil, false
 	}
-	e := &entry{key: k, until: now.Add(l.window)}
-	e.at = l.order.PushBack(e)
+	e := &entry{key: k, expires: now.Add(l.window)}
+	e.element = l.order.PushBack(e)
 	l.entries[k] = e
-	l.perOrg[k.Organisation]++
+	l.keysPerOrganisation[k.Organisation]++
 	return e, true
 }
 
-func (l *Ledger) touch(e *entry, now time.Time) {
-	e.until = now.Add(l.window)
-	l.order.MoveToBack(e.at)
+func (l *Ledger) renew(e *entry, now time.Time) {
+	e.expires = now.Add(l.window)
+	l.order.MoveToBack(e.element)
 }
 
 func (l *Ledger) remove(e *entry) {
-	l.order.Remove(e.at)
+	l.order.Remove(e.element)
 	delete(l.entries, e.key)
-	l.held -= len(e.answer.Body)
-	if l.perOrg[e.key.Organisation]--; l.perOrg[e.key.Organisation] <= 0 {
-		delete(l.perOrg, e.key.Organisation)
+	l.answerBytes -= len(e.answer.Body)
+	if l.keysPerOrganisation[e.key.Organisation]--; l.keysPerOrganisation[e.key.Organisation] <= 0 {
+		delete(l.keysPerOrganisation, e.key.Organisation)
 	}
 }
 
-// expire forgets what is older than the window; a request still at work is kept whatever its age.
+// expire removes records older than the window, but keeps those of running requests.
 func (l *Ledger) expire(now time.Time) {
-	for at := l.order.Front(); at != nil; at = l.order.Front() {
-		e := at.Value.(*entry)
-		if now.Before(e.until) {
+	for element := l.order.Front(); element != nil; element = l.order.Front() {
+		e := element.Value.(*entry)
+		if now.Before(e.expires) {
 			break
 		}
 		if e.state == Running {
-			l.touch(e, now)
+			l.renew(e, now)
 			continue
 		}
 		l.remove(e)
 	}
-	for host, passed := range l.legacies {
-		if !now.Before(passed.until) {
-			delete(l.legacies, host)
+	for host, inherited := range l.inherited {
+		if !now.Before(inherited.expires) {
+			delete(l.inherited, host)
 		}
 	}
 }
 
-func (l *Ledger) roomIn(now time.Time) time.Duration {
+// nextExpiry returns the time until the next entry expires, at least one second.
+func (l *Ledger) nextExpiry(now time.Time) time.Duration {
 	if front := l.order.Front(); front != nil {
-		return max(front.Value.(*entry).until.Sub(now), time.Second)
+		return max(front.Value.(*entry).expires.Sub(now), time.Second)
 	}
 	return time.Second
 }
 
-// Size returns the number of keys and the bytes of answers held.
+// Size returns the number of keys and the bytes of response bodies held.
 func (l *Ledger) Size() (keys, bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.entries), l.held
+	return len(l.entries), l.answerBytes
 }
--- a/internal/fleet/ledger/model_lists_test.go
+++ b/internal/fleet/ledger/model_lists_test.go
@@ -6,28 +6,29 @@
 	"pgregory.net/rapid"
 )
 
-// publish takes one host from the list or adds one, or replaces any of them.
+// publish adds or removes one host of the list, or replaces any number of them.
 func (m *model) publish(t *rapid.T) {
-	hosts := m.draw(t)
-	if len(hosts) == 0 || !m.gradual(hosts) && !m.witnessed(hosts) {
+	hosts := m.drawList(t)
+	if len(hosts) == 0 || !m.sharesMajorities(hosts) && !m.hasWitness(hosts) {
 		return
 	}
 	m.lists = append(m.lists, hosts)
 	for _, d := range m.daemons {
-		if d.alive && rapid.IntRange(0, 3).Draw(t, "learns") > 0 {
-			m.learn(d)
+		if d.alive && rapid.IntRange(0, 3).Draw(t, "receives list") > 0 {
+			m.updateList(d)
 		}
 	}
 }
 
-func (m *model) draw(t *rapid.T) []string {
+// drawList returns the newest list with one host or several added or removed.
+func (m *model) drawList(t *rapid.T) []string {
 	hosts := slices.Clone(m.lists[len(m.lists)-1])
 	changes := 1
 	if rapid.Bool().Draw(t, "replaces many") {
 		changes = len(m.daemons)
 	}
 	for range changes {
-		name := m.daemon(t).name
+		name := m.drawDaemon(t).name
 		if at := slices.Index(hosts, name); at >= 0 {
 			hosts = slices.Delete(hosts, at, at+1)
 		} else {
@@ -38,73 +39,73 @@
 	return hosts
 }
 
-// gradual is one assumption about the platform that is enough: a new list shares so many hosts
-// with any list that most hosts still have, or lately had, that most of the one
-// and most of the other have a host in common.
-func (m *model) gradual(next []string) bool {
+// sharesMajorities reports whether a new list shares so many hosts with every list that a majority
+// still has, or recently had, that any majority of the one and any of the other have a host in common.
+// This assumption about the platform suffices for safety.
+func (m *model) sharesMajorities(next []string) bool {
 	for _, d := range m.daemons {
-		if !d.alive || !d.history.Confirmed(m.now) && !m.common(d.view) {
+		if !d.alive || !d.history.Confirmed(m.now) && !m.heldByMajority(d.hosts) {
 			continue
 		}
 		union := map[string]bool{}
-		for _, name := range slices.Concat(d.view, next) {
+		for _, name := range slices.Concat(d.hosts, next) {
 			union[name] = true
 		}
-		if len(d.view)/2+1+len(next)/2+1 <= len(union) {
+		if len(d.hosts)/2+1+len(next)/2+1 <= len(union) {
 			return false
 		}
 	}
 	return true
 }
 
-// common reports whether most hosts of a list have it.
-func (m *model) common(list []string) bool {
-	have := 0
+// heldByMajority reports whether a majority of a list's hosts have it.
+func (m *model) heldByMajority(list []string) bool {
+	holding := 0
 	for _, name := range list {
-		if d := m.find(name); d.alive && slices.Equal(d.view, list) {
-			have++
+		if d := m.daemon(name); d.alive && slices.Equal(d.hosts, list) {
+			holding++
 		}
 	}
-	return 2*have > len(list)
+	return 2*holding > len(list)
 }
 
-// witnessed is another assumption that is enough: a new list names a host that
-// is up and has seen every list that others may still act on.
-func (m *model) witnessed(next []string) bool {
+// hasWitness reports whether a new list contains a running host that has seen every
+// list on which others may still act. This assumption suffices for safety too.
+func (m *model) hasWitness(next []string) bool {
 	for _, name := range next {
-		d := m.find(name)
-		if d.alive && d.seen == len(m.lists)-1 && !d.history.Report().Gap {
+		d := m.daemon(name)
+		if d.alive && d.listIndex == len(m.lists)-1 && !d.history.Report().Gap {
 			return true
 		}
 	}
 	return false
 }
 
-// part cuts the fleet in two while the platform replaces hosts, and only one side hears of it.
-func (m *model) part(t *rapid.T) {
+// partitionAndReplace partitions the fleet while the platform replaces hosts, and only one side receives the new list.
+func (m *model) partitionAndReplace(t *rapid.T) {
 	m.now = m.now.Add(2 * modelWindow)
 	m.confirmAll()
-	m.split(t)
-	next := m.draw(t)
-	if !m.witnessed(next) {
+	m.partition(t)
+	next := m.drawList(t)
+	if !m.hasWitness(next) {
 		return
 	}
 	m.lists = append(m.lists, next)
-	first := m.daemon(t)
+	first := m.drawDaemon(t)
 	for _, d := range m.daemons {
-		if d == first || m.reach(first.name, d.name) {
-			m.learn(d)
+		if d == first || m.canReach(first.name, d.name) {
+			m.updateList(d)
 		}
 	}
 }
 
-// split parts the fleet in two, or makes it whole again.
-func (m *model) split(t *rapid.T) {
-	m.cut = map[[2]string]bool{}
+// partition splits the fleet in two sides, or heals it when all daemons are drawn to one side.
+func (m *model) partition(t *rapid.T) {
+	m.unreachable = map[[2]string]bool{}
 	side := rapid.IntRange(0, 1<<len(m.daemons)-1).Draw(t, "side")
 	for i, a := range m.daemons {
 		for j, b := range m.daemons {
-			m.cut[[2]string{a.name, b.name}] = side>>i&1 != side>>j&1
+			m.unreachable[[2]string{a.name, b.name}] = side>>i&1 != side>>j&1
 		}
 	}
 }
--- a/internal/fleet/ledger/recall.go
+++ b/internal/fleet/ledger/recall.go
@@ -6,95 +6,96 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Move tells that a key went to another daemon, and how long ago it first did.
+// Move records that another daemon recalled the key and may run its request, and how long ago it first recalled it.
 type Move struct {
 	To  string        `msgpack:"to"`
 	Ago time.Duration `msgpack:"ago"`
 }
 
-// RecallReply is a daemon's answer to another that wants to run a key's request.
+// RecallReply is a daemon's reply to another one that recalls a key.
 type RecallReply struct {
 	State       State       `msgpack:"state"`
 	Fingerprint Fingerprint `msgpack:"fingerprint"`
 	Answer      call.Answer `msgpack:"answer"`
 	Kept        bool        `msgpack:"kept"`
 	Moves       []Move      `msgpack:"moves"`
-	// Age is how far back the daemon remembers every key that it held.
+	// Age is how far back the daemon's own records are complete.
 	Age time.Duration `msgpack:"age"`
-	// Legacies are the ages of the memories that others passed on to it.
+	// Legacies say how far back the records reach that leaving daemons handed over to it, by host.
 	Legacies map[string]time.Duration `msgpack:"legacies"`
-	// Lists is what the daemon says of its lists.
+	// Lists is the daemon's report on its host lists.
 	Lists ListReport `msgpack:"word"`
-	// Required are the daemons that may have held the key, as far as this one knows.
+	// Required are the daemons that may have held the key, according to the replying daemon's lists.
 	Required []string `msgpack:"required"`
 }
 
-func (e *entry) moved(now time.Time) []Move {
-	var all []Move
-	for to, at := range e.moves {
-		all = append(all, Move{To: to, Ago: now.Sub(at)})
+func (e *entry) transferList(now time.Time) []Move {
+	var transfers []Move
+	for to, at := range e.transfers {
+		transfers = append(transfers, Move{To: to, Ago: now.Sub(at)})
 	}
-	return all
+	return transfers
 }
 
-// move notes who asked; the first time counts, since a daemon that restarted since has forgotten what it did.
-func (e *entry) move(to string, at time.Time) {
-	if e.moves == nil {
-		e.moves = map[string]time.Time{}
+// recordTransfer records that a daemon recalled the key. It keeps the time of the first recall: a daemon
+// that restarted after it has lost what it did with the key.
+func (e *entry) recordTransfer(to string, at time.Time) {
+	if e.transfers == nil {
+		e.transfers = map[string]time.Time{}
 	}
-	if first, ok := e.moves[to]; !ok || at.Before(first) {
-		e.moves[to] = at
+	if first, ok := e.transfers[to]; !ok || at.Before(first) {
+		e.transfers[to] = at
 	}
 }
 
-// Recall answers the daemon that wants to run a key's request, and lets go of
-// the key: from now on this daemon asks the others before it runs that request.
+// Recall replies to a daemon that wants to run a key's request, and gives up
+// the key: from now on this daemon recalls it from the others before it runs that request.
 //
-// Two daemons with different host lists can both take themselves for a key's
-// holder. Whichever asks first fences the other; if both ask at once, each finds
-// the other at it and neither runs the request.
+// Two daemons with different host lists can each consider itself the key's
+// holder. Whichever recalls first fences the other; if both recall at the same
+// time, each finds the request running at the other and neither runs it.
 func (l *Ledger) Recall(k Key, asker string, now time.Time) RecallReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
-	m := RecallReply{Age: l.age(now), Legacies: l.legacyAges(now)}
+	reply := RecallReply{Age: l.memoryAge(now), Legacies: l.inheritedAges(now)}
 	e, ok := l.entries[k]
 	if !ok {
 		if e, ok = l.add(k, now); !ok {
-			// What can't be fenced can't be vouched for.
-			m.State = Lost
-			return m
+			// Without an entry this daemon could not fence itself off from the key, so it can't confirm the key as new.
+			reply.State = Lost
+			return reply
 		}
 		e.state = Moved
 	}
-	m.State, m.Fingerprint, m.Answer, m.Kept, m.Moves = e.state, e.fingerprint, e.answer, e.kept, e.moved(now)
+	reply.State, reply.Fingerprint, reply.Answer, reply.Kept, reply.Moves = e.state, e.fingerprint, e.answer, e.hasAnswer, e.transferList(now)
 	if e.state == Moved {
-		m.State = Absent
-		e.move(asker, now)
-		l.touch(e, now)
+		reply.State = Absent
+		e.recordTransfer(asker, now)
+		l.renew(e, now)
 	}
-	return m
+	return reply
 }
 
-// Own returns the daemon's own memory of how far back it and its legacies reach.
+// Own returns how far back the daemon's own and its inherited records reach.
 func (l *Ledger) Own(now time.Time) RecallReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
-	return RecallReply{Age: l.age(now), Legacies: l.legacyAges(now)}
+	return RecallReply{Age: l.memoryAge(now), Legacies: l.inheritedAges(now)}
 }
 
-func (l *Ledger) age(now time.Time) time.Duration { return min(now.Sub(l.born), l.window) }
+func (l *Ledger) memoryAge(now time.Time) time.Duration { return min(now.Sub(l.started), l.window) }
 
-func (l *Ledger) legacyAges(now time.Time) map[string]time.Duration {
-	ages := make(map[string]time.Duration, len(l.legacies))
-	for host, passed := range l.legacies {
-		ages[host] = min(now.Sub(passed.since), l.window)
+func (l *Ledger) inheritedAges(now time.Time) map[string]time.Duration {
+	ages := make(map[string]time.Duration, len(l.inherited))
+	for host, inherited := range l.inherited {
+		ages[host] = min(now.Sub(inherited.coveredSince), l.window)
 	}
 	return ages
 }
 
-// Record is one key of a memory that is passed on.
+// Record is the record of one key, as a leaving daemon hands it over.
 type Record struct {
 	Key         Key         `msgpack:"key"`
 	Fingerprint Fingerprint `msgpack:"fingerprint"`
@@ -104,61 +105,61 @@
 	Moves       []Move      `msgpack:"moves"`
 }
 
-// Records returns what a leaving daemon passes on; a request still at work counts as lost.
+// Records returns the records that a leaving daemon hands over; a running request counts as lost.
 func (l *Ledger) Records(now time.Time) []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
-	var all []Record
-	for at := l.order.Front(); at != nil; at = at.Next() {
-		e := at.Value.(*entry)
+	var records []Record
+	for element := l.order.Front(); element != nil; element = element.Next() {
+		e := element.Value.(*entry)
 		state := e.state
 		if state == Running {
 			state = Lost
 		}
-		all = append(all, Record{
-			Key: e.key, Fingerprint: e.fingerprint, State: state, Answer: e.answer, Kept: e.kept,
-			Moves: e.moved(now),
+		records = append(records, Record{
+			Key: e.key, Fingerprint: e.fingerprint, State: state, Answer: e.answer, Kept: e.hasAnswer,
+			Moves: e.transferList(now),
 		})
 	}
-	return all
+	return records
 }
 
-// Inherit takes over a leaving daemon's memory, which reached back for age; false means that there was no room for all.
+// Inherit adds a leaving daemon's records, which reach back for age; it returns false if there was no capacity for all.
 func (l *Ledger) Inherit(from string, records []Record, age time.Duration, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
-	for _, r := range records {
-		if !l.inherit(r, now) {
+	for _, record := range records {
+		if !l.inheritRecord(record, now) {
 			return false
 		}
 	}
-	since := now.Add(-age)
-	if before, ok := l.legacies[from]; ok && before.since.Before(since) {
-		since = before.since
+	coveredSince := now.Add(-age)
+	if earlier, ok := l.inherited[from]; ok && earlier.coveredSince.Before(coveredSince) {
+		coveredSince = earlier.coveredSince
 	}
-	l.legacies[from] = legacy{since: since, until: now.Add(l.window)}
+	l.inherited[from] = inheritance{coveredSince: coveredSince, expires: now.Add(l.window)}
 	return true
 }
 
-func (l *Ledger) inherit(r Record, now time.Time) bool {
-	e, ok := l.entries[r.Key]
+func (l *Ledger) inheritRecord(record Record, now time.Time) bool {
+	e, ok := l.entries[record.Key]
 	if !ok {
-		if e, ok = l.add(r.Key, now); !ok {
+		if e, ok = l.add(record.Key, now); !ok {
 			return false
 		}
 		e.state = Moved
 	}
-	for _, m := range r.Moves {
-		e.move(m.To, now.Add(-m.Ago))
+	for _, transfer := range record.Moves {
+		e.recordTransfer(transfer.To, now.Add(-transfer.Ago))
 	}
-	if e.state != Moved || r.State == Moved {
+	if e.state != Moved || record.State == Moved {
 		return true
 	}
-	e.state, e.fingerprint = r.State, r.Fingerprint
-	if r.Kept {
-		l.keep(e, r.Answer)
+	e.state, e.fingerprint = record.State, record.Fingerprint
+	if record.Kept {
+		l.keepAnswer(e, record.Answer)
 	}
 	return true
 }
--- a/internal/fleet/ledger/state.go
+++ b/internal/fleet/ledger/state.go
@@ -3,36 +3,36 @@
 //go:generate stringer -type=State -linecomment
 //go:generate stringer -type=Claim -linecomment
 
-// State is what a daemon knows of a key.
+// State is what a daemon knows about a key.
 type State uint8
 
 const (
-	// Absent means that the daemon knows nothing of the key.
+	// Absent means that the daemon has no record of the key.
 	Absent State = iota // absent
-	// Running means that its request is at work, or that its holder is asking the others.
+	// Running means that its request is running, or that its holder is recalling the key.
 	Running // running
-	// Finished means that its request was answered whole.
+	// Finished means that its request got a whole response.
 	Finished // finished
-	// Lost means that its request may have run, and no whole answer came back.
+	// Lost means that its request may have run, without a whole response.
 	Lost // lost
-	// Moved means that another daemon asked for the key and may run it.
+	// Moved means that another daemon recalled the key and may run its request.
 	Moved // moved
 )
 
-// Claim tells what a request with a key is to do.
+// Claim says how a request with a key must proceed.
 type Claim uint8
 
 const (
-	// Begun means that the request has the key and must release or finish it.
+	// Begun means that the request has claimed the key and must release or finish it.
 	Begun Claim = iota // begun
-	// Joined means that a request with this key is at work.
+	// Joined means that a request with this key is running; the caller waits for its end.
 	Joined // joined
-	// Answered means that a request with this key was answered.
+	// Answered means that a request with this key has its response recorded.
 	Answered // answered
-	// Doubtful means that a request with this key may have run.
+	// Doubtful means that a request with this key may have run, and its response is not recorded.
 	Doubtful // doubtful
-	// Mismatched means that the key was given to another request.
+	// Mismatched means that another request with a different fingerprint used the key.
 	Mismatched // mismatched
-	// Full means that no more keys can be remembered now.
+	// Full means that there is no capacity for a new key.
 	Full // crowded
 )
--- a/internal/fleet/ledger/vouch.go
+++ b/internal/fleet/ledger/vouch.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// Evidence is all that decides whether a key's request may run.
+// Evidence is everything that decides whether a key's request may run.
 type Evidence struct {
-	// Self is the asking daemon, Own its memory, Moves what it noted of the key before.
-	Self  string
-	Own   RecallReply
+	// Self is the asking daemon, and Own says how far back its records reach.
+	Self string
+	Own  RecallReply
+	// Moves are the daemons that recalled the key from the asking daemon earlier.
 	Moves []Move
 	// Window is how long keys are remembered.
 	Window time.Duration
-	// Need is how far back memories must reach: the key's greatest age.
+	// Need is how far back records must reach: the key's maximum age.
 	Need time.Duration
 	// Required are the daemons that may have held the key within that time.
 	Required []string
-	// Replies are the memories of those that answered.
+	// Replies are the replies to the recall, by host.
 	Replies map[string]RecallReply
 }
 
-// Known returns what another daemon remembers of the key, or false.
-func (q *Evidence) Known() (RecallReply, bool) {
-	for _, m := range q.Replies {
-		if m.State != Absent && m.State != Moved {
-			return m, true
+// Known returns another daemon's reply that has a record of the key's request, or false.
+func (e *Evidence) Known() (RecallReply, bool) {
+	for _, reply := range e.Replies {
+		if reply.State != Absent && reply.State != Moved {
+			return reply, true
 		}
 	}
 	return RecallReply{}, false
@@ -34,107 +35,107 @@
 
 // New reports whether no daemon can have run the key's request.
 //
-// Each daemon that may have held the key must remember far enough back, itself
-// or through the memory that it passed on when it left. A daemon that crashed or
-// can't be reached leaves a doubt, and in doubt nothing runs: a second charge is
-// worse than an answer that says the outcome is unknown. A key that went to a
-// daemon which has since lost its memory is doubtful too.
-func (q *Evidence) New() bool {
-	if _, known := q.Known(); known {
+// For each daemon that may have held the key, records must reach far enough back:
+// its own, or those that it handed over when it left. A daemon that crashed or
+// can't be reached leaves doubt, and in doubt the request does not run: a second
+// charge is worse than a response that the outcome is unknown. A key that was
+// transferred to a daemon which has since lost its records is in doubt too.
+func (e *Evidence) New() bool {
+	if _, known := e.Known(); known {
 		return false
 	}
-	if !q.allCovered(q.Required) || !q.settled(q.Moves) {
+	if !e.allCovered(e.Required) || !e.transfersCovered(e.Moves) {
 		return false
 	}
-	for _, m := range q.Replies {
-		if !q.allCovered(m.Required) || !q.settled(m.Moves) {
+	for _, reply := range e.Replies {
+		if !e.allCovered(reply.Required) || !e.transfersCovered(reply.Moves) {
 			return false
 		}
 	}
 	return true
 }
 
-// Pending reports whether nothing but the silence of daemons keeps the key in doubt, so that the same question may be answered later.
+// Pending reports whether only missing replies keep the key in doubt, so that a later recall may settle it.
 //
-// A region that is away has lost no memory. Would its silence be told like a crash, callers would be told
-// that coming back does not help, and find out by hand what became of bookings that nobody had begun.
-func (q *Evidence) Pending() bool {
-	heard := *q
-	heard.Replies = maps.Clone(q.Replies)
-	if heard.Replies == nil {
-		heard.Replies = map[string]RecallReply{}
+// An unreachable region has lost no records. If its silence were reported like a crash, callers would be told
+// that a retry does not help, and would have to check by hand for bookings that were never begun.
+func (e *Evidence) Pending() bool {
+	assumed := *e
+	assumed.Replies = maps.Clone(e.Replies)
+	if assumed.Replies == nil {
+		assumed.Replies = map[string]RecallReply{}
 	}
-	for _, host := range q.wanted() {
-		if _, ok := q.age(host); !ok {
-			heard.Replies[host] = RecallReply{Age: math.MaxInt64}
+	for _, host := range e.hostsNeeded() {
+		if _, ok := e.memoryAge(host); !ok {
+			assumed.Replies[host] = RecallReply{Age: math.MaxInt64}
 		}
 	}
-	return !q.New() && heard.New()
+	return !e.New() && assumed.New()
 }
 
-// wanted returns the daemons whose word the answer needs, as far as this one and those heard know.
-func (q *Evidence) wanted() []string {
-	hosts, moves := q.Required, q.Moves
-	for _, m := range q.Replies {
-		hosts, moves = append(hosts[:len(hosts):len(hosts)], m.Required...), append(moves[:len(moves):len(moves)], m.Moves...)
+// hostsNeeded returns the daemons whose replies the decision needs, according to this daemon and the replies received.
+func (e *Evidence) hostsNeeded() []string {
+	hosts, transfers := e.Required, e.Moves
+	for _, reply := range e.Replies {
+		hosts, transfers = append(hosts[:len(hosts):len(hosts)], reply.Required...), append(transfers[:len(transfers):len(transfers)], reply.Moves...)
 	}
-	for _, m := range moves {
-		hosts = append(hosts[:len(hosts):len(hosts)], m.To)
+	for _, transfer := range transfers {
+		hosts = append(hosts[:len(hosts):len(hosts)], transfer.To)
 	}
 	return hosts
 }
 
-// Asking reports whether the other daemons have to be asked at all; in a fleet
-// whose hosts stay the same, a holder knows by itself.
-func (q *Evidence) Asking() bool {
-	for _, host := range q.Required {
-		if host != q.Self {
+// Asking reports whether the key has to be recalled from other daemons; while
+// the host list is unchanged, the holder's own records are enough.
+func (e *Evidence) Asking() bool {
+	for _, host := range e.Required {
+		if host != e.Self {
 			return true
 		}
 	}
-	return len(q.Moves) > 0 || q.Own.Age < q.Need
+	return len(e.Moves) > 0 || e.Own.Age < e.Need
 }
 
-func (q *Evidence) allCovered(hosts []string) bool {
+func (e *Evidence) allCovered(hosts []string) bool {
 	for _, host := range hosts {
-		if !q.covered(host) {
+		if !e.covered(host) {
 			return false
 		}
 	}
 	return true
 }
 
-// covered reports whether a daemon's memory, or one that it passed on, reaches back far enough.
-func (q *Evidence) covered(host string) bool {
-	if age, ok := q.age(host); ok && age >= q.Need {
+// covered reports whether a daemon's records, its own or those that it handed over, reach back far enough.
+func (e *Evidence) covered(host string) bool {
+	if age, ok := e.memoryAge(host); ok && age >= e.Need {
 		return true
 	}
-	if q.Own.Legacies[host] >= q.Need {
+	if e.Own.Legacies[host] >= e.Need {
 		return true
 	}
-	for _, m := range q.Replies {
-		if m.Legacies[host] >= q.Need {
+	for _, reply := range e.Replies {
+		if reply.Legacies[host] >= e.Need {
 			return true
 		}
 	}
 	return false
 }
 
-// settled reports whether the daemons that a key went to still have the memory of that time.
-func (q *Evidence) settled(moves []Move) bool {
-	for _, m := range moves {
-		age, ok := q.age(m.To)
-		if !ok || (age <= m.Ago && age < q.Window) {
+// transfersCovered reports whether the daemons that a key was transferred to still have their records since then.
+func (e *Evidence) transfersCovered(transfers []Move) bool {
+	for _, transfer := range transfers {
+		age, ok := e.memoryAge(transfer.To)
+		if !ok || (age <= transfer.Ago && age < e.Window) {
 			return false
 		}
 	}
 	return true
 }
 
-func (q *Evidence) age(host string) (time.Duration, bool) {
-	if host == q.Self {
-		return q.Own.Age, true
+func (e *Evidence) memoryAge(host string) (time.Duration, bool) {
+	if host == e.Self {
+		return e.Own.Age, true
 	}
-	m, ok := q.Replies[host]
-	return m.Age, ok
+	reply, ok := e.Replies[host]
+	return reply.Age, ok
 }
