--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -60,7 +60,7 @@
 func (r *repeats) remember(view *lists.View, now time.Time) {
 	next := map[string]netip.AddrPort{}
 	if before := r.addresses.Load(); before != nil {
-		for _, name := range r.history.Everyone(now) {
+		for _, name := range r.history.AllHosts(now) {
 			if at, ok := (*before)[name]; ok {
 				next[name] = at
 			}
@@ -217,26 +217,26 @@
 func (r *repeats) ask(ctx context.Context, key ledger.Key, t ledger.Ticket) (call.Answer, bool) {
 	now := time.Now()
 	q := ledger.Evidence{
-		Self: r.daemon.settings.Host, Own: r.ledger.Own(now), Moves: t.Moves, Window: r.window,
-		Need: key.Age(now, r.window), Required: r.history.Required(key, now),
+		Self: r.daemon.settings.Host, Own: r.ledger.Coverage(now), Transfers: t.Transfers, Window: r.window,
+		MaxKeyAge: key.MaxAge(now, r.window), PossibleHolders: r.history.PossibleHolders(key, now),
 	}
-	if q.Need > r.window {
+	if q.MaxKeyAge > r.window {
 		return call.Lose(call.Repeated), true
 	}
-	if r.history.Confirmed(now) && !q.Asking() {
+	if r.history.Confirmed(now) && !q.NeedsRecall() {
 		return call.Answer{}, false
 	}
 	q.Replies = r.recallAll(ctx, recall{Key: key, Asker: q.Self}, now)
 	if m, ok := q.Known(); ok {
-		if m.State == ledger.Finished && m.Kept {
+		if m.State == ledger.Finished && m.HasAnswer {
 			return m.Answer, true
 		}
 		return call.Lose(call.Repeated), true
 	}
 	switch confirmed := r.history.Confirmed(time.Now()); {
-	case confirmed && q.New():
+	case confirmed && q.ProvesNew():
 		return call.Answer{}, false
-	case q.New() || q.Pending():
+	case q.ProvesNew() || q.OnlyRepliesMissing():
 		return r.undecided(time.Now()), true
 	default:
 		return call.Lose(call.Repeated), true
@@ -271,7 +271,7 @@
 	replies := map[string]ledger.RecallReply{}
 	var mu sync.Mutex
 	var asking sync.WaitGroup
-	for _, name := range r.history.Everyone(now) {
+	for _, name := range r.history.AllHosts(now) {
 		to, ok := addresses[name]
 		if !ok || name == question.Asker || members.Suspect(name) {
 			continue
@@ -307,7 +307,7 @@
 	m := ledger.RecallReply{}
 	if q.Key != (ledger.Key{}) {
 		m = r.ledger.Recall(q.Key, q.Asker, now)
-		m.Required = r.history.Required(q.Key, now)
+		m.PossibleHolders = r.history.PossibleHolders(q.Key, now)
 	}
 	m.Lists = r.history.Report()
 	return m
@@ -352,7 +352,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), legacyTime)
 	defer cancel()
 	now := time.Now()
-	out := legacy{From: r.daemon.settings.Host, Records: r.ledger.Records(now), Age: r.ledger.Own(now).Age}
+	out := legacy{From: r.daemon.settings.Host, Records: r.ledger.Records(now), Age: r.ledger.Coverage(now).MemoryAge}
 	view := r.daemon.view.Load()
 	var passing sync.WaitGroup
 	for _, host := range view.HostsOf(r.daemon.settings.Service) {
--- a/internal/fleet/ledger/history.go
+++ b/internal/fleet/ledger/history.go
@@ -49,18 +49,18 @@
 	adopted bool
 }
 
-// Past is an earlier host list on which some of its hosts may still act.
-type Past struct {
-	Hosts []string `msgpack:"hosts"`
-	Last  uint64   `msgpack:"last"`
+// FormerList is an earlier host list on which some of its hosts may still act.
+type FormerList struct {
+	Hosts       []string `msgpack:"hosts"`
+	LastVersion uint64   `msgpack:"last"`
 }
 
 // ListReport is what a daemon reports of its host lists.
 type ListReport struct {
 	Version uint64   `msgpack:"version"`
 	Hosts   []string `msgpack:"hosts"`
-	// Past are the earlier lists that it retains and that a majority may still have.
-	Past []Past `msgpack:"past"`
+	// Former are the earlier lists that it retains and that a majority may still have.
+	Former []FormerList `msgpack:"past"`
 	// Gap means that it may have missed lists.
 	Gap bool `msgpack:"gap"`
 }
@@ -160,10 +160,10 @@
 // adoptFormerLists adds the earlier lists that other daemons retain.
 func (h *History) adoptFormerLists(reports map[string]ListReport) {
 	for _, report := range reports {
-		for _, former := range report.Past {
+		for _, former := range report.Former {
 			known := slices.ContainsFunc(h.lists, func(l hostList) bool { return slices.Equal(l.hosts, former.Hosts) })
 			if !known && len(h.lists) < maxLists {
-				h.lists = slices.Insert(h.lists, 0, hostList{hosts: former.Hosts, lastVersion: former.Last, adopted: true})
+				h.lists = slices.Insert(h.lists, 0, hostList{hosts: former.Hosts, lastVersion: former.LastVersion, adopted: true})
 			}
 		}
 	}
@@ -176,7 +176,7 @@
 	report := ListReport{Version: h.version, Hosts: h.newestHosts(), Gap: h.gap}
 	for i := range len(h.lists) - 1 {
 		if l := h.lists[i]; l.endedAt.IsZero() {
-			report.Past = append(report.Past, Past{Hosts: l.hosts, Last: l.lastVersion})
+			report.Former = append(report.Former, FormerList{Hosts: l.hosts, LastVersion: l.lastVersion})
 		}
 	}
 	return report
@@ -220,9 +220,9 @@
 	return h.newestHosts()
 }
 
-// Required returns the daemons that may have held the key within the window: the key's holder in
+// PossibleHolders returns the daemons that may have held the key within the window: the key's holder in
 // each list. While a list may have been missed, any host of the lists that this daemon saw counts.
-func (h *History) Required(key Key, now time.Time) []string {
+func (h *History) PossibleHolders(key Key, now time.Time) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dropExpired(now)
@@ -238,8 +238,8 @@
 	return slices.Compact(hosts)
 }
 
-// Everyone returns the hosts of all retained lists, sorted.
-func (h *History) Everyone(now time.Time) []string {
+// AllHosts returns the hosts of all retained lists, sorted.
+func (h *History) AllHosts(now time.Time) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dropExpired(now)
--- a/internal/fleet/ledger/key.go
+++ b/internal/fleet/ledger/key.go
@@ -43,21 +43,21 @@
 	return holder
 }
 
-// Skew is the maximum difference assumed between a caller's clock and a daemon's.
-const Skew = 2 * time.Second
+// MaxClockSkew is the maximum difference assumed between a caller's clock and a daemon's.
+const MaxClockSkew = 2 * time.Second
 
 const uuidVersionTimeOrdered = 7
 
-// Age returns the maximum time since the key can have been used first.
+// MaxAge returns the maximum time since the key can have been used first.
 //
 // A UUID of version 7 contains its creation time, so that a daemon without
 // records from before its start can still recognise a new key. Any other key may
 // be as old as the window in which callers retry.
-func (k Key) Age(now time.Time, window time.Duration) time.Duration {
+func (k Key) MaxAge(now time.Time, window time.Duration) time.Duration {
 	id, err := uuid.Parse(k.Text)
 	if err != nil || id.Version() != uuidVersionTimeOrdered {
 		return window
 	}
 	seconds, nanos := id.Time().UnixTime()
-	return max(now.Sub(time.Unix(seconds, nanos)), 0) + Skew
+	return max(now.Sub(time.Unix(seconds, nanos)), 0) + MaxClockSkew
 }
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -65,8 +65,8 @@
 	Answer call.Answer
 	// Done is closed when the running request with this key has ended.
 	Done <-chan struct{}
-	// Moves are the daemons that recalled the key earlier; if there are any, the key must be recalled from the others.
-	Moves []Move
+	// Transfers are the daemons that recalled the key earlier; if there are any, the key must be recalled from the others.
+	Transfers []Transfer
 	// Wait is the time until there may be capacity for a new key.
 	Wait time.Duration
 }
@@ -82,7 +82,7 @@
 		if !ok {
 			return Ticket{Claim: Full, Wait: l.nextExpiry(now)}
 		}
-	} else if e.state != Moved && e.fingerprint != fingerprint {
+	} else if e.state != Transferred && e.fingerprint != fingerprint {
 		return Ticket{Claim: Mismatched}
 	}
 	switch e.state {
@@ -96,7 +96,7 @@
 	e.state = Running
 	e.fingerprint = fingerprint
 	e.done = make(chan struct{})
-	return Ticket{Claim: Begun, Moves: e.transferList(now)}
+	return Ticket{Claim: Begun, Transfers: e.transferList(now)}
 }
 
 func (l *Ledger) replay(e *entry) Ticket {
@@ -138,7 +138,7 @@
 		l.remove(e)
 		return
 	}
-	e.state = Moved
+	e.state = Transferred
 }
 
 // keepAnswer stores a response if there is capacity; without it, a client retry is answered that the outcome is unknown.
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -109,10 +109,10 @@
 		now := startTime.Add(time.Hour)
 		leaving.Begin(testKey, Fingerprint{1}, now)
 		leaving.Finish(testKey, wholeAnswer, now)
-		So(remaining.Inherit("leaving", leaving.Records(now), leaving.Own(now).Age, now), ShouldBeTrue)
+		So(remaining.Inherit("leaving", leaving.Records(now), leaving.Coverage(now).MemoryAge, now), ShouldBeTrue)
 		So(remaining.Begin(testKey, Fingerprint{1}, now).Answer, ShouldResemble, wholeAnswer)
-		So(remaining.Own(now).Legacies["leaving"], ShouldEqual, time.Minute)
-		So(remaining.Own(now.Add(time.Minute)).Legacies, ShouldBeEmpty)
+		So(remaining.Coverage(now).Inherited["leaving"], ShouldEqual, time.Minute)
+		So(remaining.Coverage(now.Add(time.Minute)).Inherited, ShouldBeEmpty)
 	})
 }
 
@@ -123,29 +123,29 @@
 		evidence Evidence
 		want     bool
 	}{
-		{"a holder whose records cover the whole window", Evidence{Own: RecallReply{Age: old}, Required: []string{"me"}}, true},
-		{"a holder that has just started", Evidence{Own: RecallReply{Age: young}, Required: []string{"me"}}, false},
-		{"a holder that has just started, with a new key", Evidence{Own: RecallReply{Age: young}, Need: time.Millisecond, Required: []string{"me"}}, true},
+		{"a holder whose records cover the whole window", Evidence{Own: RecallReply{MemoryAge: old}, PossibleHolders: []string{"me"}}, true},
+		{"a holder that has just started", Evidence{Own: RecallReply{MemoryAge: young}, PossibleHolders: []string{"me"}}, false},
+		{"a holder that has just started, with a new key", Evidence{Own: RecallReply{MemoryAge: young}, MaxKeyAge: time.Millisecond, PossibleHolders: []string{"me"}}, true},
 		{"a holder whose earlier records another daemon inherited", Evidence{
-			Own: RecallReply{Age: young}, Required: []string{"me"},
-			Replies: map[string]RecallReply{"b": {Age: old, Legacies: map[string]time.Duration{"me": old}}},
+			Own: RecallReply{MemoryAge: young}, PossibleHolders: []string{"me"},
+			Replies: map[string]RecallReply{"b": {MemoryAge: old, Inherited: map[string]time.Duration{"me": old}}},
 		}, true},
-		{"an earlier holder that can't be reached", Evidence{Own: RecallReply{Age: old}, Required: []string{"gone", "me"}}, false},
+		{"an earlier holder that can't be reached", Evidence{Own: RecallReply{MemoryAge: old}, PossibleHolders: []string{"gone", "me"}}, false},
 		{"an unreachable earlier holder that only another daemon's list names", Evidence{
-			Own: RecallReply{Age: old}, Required: []string{"me"},
-			Replies: map[string]RecallReply{"b": {Age: old, Required: []string{"gone"}}},
+			Own: RecallReply{MemoryAge: old}, PossibleHolders: []string{"me"},
+			Replies: map[string]RecallReply{"b": {MemoryAge: old, PossibleHolders: []string{"gone"}}},
 		}, false},
-		{"an earlier holder without a record of the key", Evidence{Own: RecallReply{Age: old}, Required: []string{"b", "me"}, Replies: map[string]RecallReply{"b": {Age: old}}}, true},
+		{"an earlier holder without a record of the key", Evidence{Own: RecallReply{MemoryAge: old}, PossibleHolders: []string{"b", "me"}, Replies: map[string]RecallReply{"b": {MemoryAge: old}}}, true},
 		{"an earlier holder with a record of the key", Evidence{
-			Own: RecallReply{Age: old}, Required: []string{"b", "me"}, Replies: map[string]RecallReply{"b": {Age: old, State: Lost}},
+			Own: RecallReply{MemoryAge: old}, PossibleHolders: []string{"b", "me"}, Replies: map[string]RecallReply{"b": {MemoryAge: old, State: Lost}},
 		}, false},
 		{"a key transferred to a daemon that has crashed since", Evidence{
-			Own: RecallReply{Age: old}, Required: []string{"me"}, Moves: []Move{{To: "b", Ago: 2 * young}},
-			Replies: map[string]RecallReply{"b": {Age: young}},
+			Own: RecallReply{MemoryAge: old}, PossibleHolders: []string{"me"}, Transfers: []Transfer{{To: "b", Ago: 2 * young}},
+			Replies: map[string]RecallReply{"b": {MemoryAge: young}},
 		}, false},
 		{"a key transferred to a daemon that still has its records", Evidence{
-			Own: RecallReply{Age: old}, Required: []string{"me"}, Moves: []Move{{To: "b", Ago: 2 * young}},
-			Replies: map[string]RecallReply{"b": {Age: old}},
+			Own: RecallReply{MemoryAge: old}, PossibleHolders: []string{"me"}, Transfers: []Transfer{{To: "b", Ago: 2 * young}},
+			Replies: map[string]RecallReply{"b": {MemoryAge: old}},
 		}, true},
 	}
 	// A retried charge must not run a second time at a daemon that does not know of the first run.
@@ -153,10 +153,10 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				c.evidence.Self, c.evidence.Window = "me", time.Minute
-				if c.evidence.Need == 0 {
-					c.evidence.Need = time.Minute
+				if c.evidence.MaxKeyAge == 0 {
+					c.evidence.MaxKeyAge = time.Minute
 				}
-				So(c.evidence.New(), ShouldEqual, c.want)
+				So(c.evidence.ProvesNew(), ShouldEqual, c.want)
 			})
 		}
 	})
@@ -178,10 +178,10 @@
 		h.Observe(2, two, now)
 		Convey("the earlier holder counts until the new list is confirmed, and for a window and a confirmation's validity beyond", func() {
 			later := now.Add(time.Hour)
-			So(h.Required(key, later), ShouldContain, "c")
+			So(h.PossibleHolders(key, later), ShouldContain, "c")
 			h.Confirm("a", map[string]ListReport{"b": {Version: 2, Hosts: two}}, later)
-			So(h.Required(key, later.Add(90*time.Second)), ShouldContain, "c")
-			So(h.Required(key, later.Add(91*time.Second)), ShouldNotContain, "c")
+			So(h.PossibleHolders(key, later.Add(90*time.Second)), ShouldContain, "c")
+			So(h.PossibleHolders(key, later.Add(91*time.Second)), ShouldNotContain, "c")
 		})
 		Convey("the new list is valid only while a majority of its hosts have it", func() {
 			So(h.Confirmed(now), ShouldBeFalse)
@@ -195,13 +195,13 @@
 			shrunkAt := now.Add(time.Second)
 			h.Observe(3, []string{"a"}, shrunkAt)
 			h.Confirm("a", nil, shrunkAt)
-			So(h.Required(key, shrunkAt.Add(time.Hour)), ShouldContain, "c")
+			So(h.PossibleHolders(key, shrunkAt.Add(time.Hour)), ShouldContain, "c")
 			h.Confirm("a", map[string]ListReport{"b": {Version: 3, Hosts: []string{"a"}}}, shrunkAt.Add(time.Hour))
-			So(h.Required(key, shrunkAt.Add(2*time.Hour)), ShouldNotContain, "c")
+			So(h.PossibleHolders(key, shrunkAt.Add(2*time.Hour)), ShouldNotContain, "c")
 		})
 		Convey("after a missed list any host may have held the key", func() {
 			h.Observe(4, two, now)
-			So(h.Required(Key{Text: "any"}, now), ShouldResemble, three)
+			So(h.PossibleHolders(Key{Text: "any"}, now), ShouldResemble, three)
 		})
 	})
 }
@@ -213,15 +213,15 @@
 		text string
 		want time.Duration
 	}{
-		{"a time-ordered UUID", "018bcfe5-6800-7000-8000-000000000001", Skew},
-		{"a time-ordered UUID of a caller whose clock is ahead", "018bcfe5-7000-7000-8000-000000000001", Skew},
-		{"a time-ordered UUID made 256 ms earlier", "018bcfe5-6700-7000-8000-000000000001", Skew + 256*time.Millisecond},
+		{"a time-ordered UUID", "018bcfe5-6800-7000-8000-000000000001", MaxClockSkew},
+		{"a time-ordered UUID of a caller whose clock is ahead", "018bcfe5-7000-7000-8000-000000000001", MaxClockSkew},
+		{"a time-ordered UUID made 256 ms earlier", "018bcfe5-6700-7000-8000-000000000001", MaxClockSkew + 256*time.Millisecond},
 		{"a random UUID", "7d444840-9dc0-41d1-b245-5ffdce74fad2", time.Minute},
 		{"any text", "order 17", time.Minute},
 	}
 	Convey("A key's age is the maximum that its text allows", t, func() {
 		for _, c := range cases {
-			Convey(c.name, func() { So(Key{Text: c.text}.Age(now, time.Minute), ShouldEqual, c.want) })
+			Convey(c.name, func() { So(Key{Text: c.text}.MaxAge(now, time.Minute), ShouldEqual, c.want) })
 		}
 	})
 }
--- a/internal/fleet/ledger/model_test.go
+++ b/internal/fleet/ledger/model_test.go
@@ -120,7 +120,7 @@
 
 // drawTimedKey returns a UUID of version 7 made by a caller whose clock is off by up to the assumed skew.
 func (m *model) drawTimedKey(t *rapid.T) string {
-	offset := time.Duration(rapid.IntRange(-int(Skew/time.Millisecond), int(Skew/time.Millisecond)).Draw(t, "skew")) * time.Millisecond
+	offset := time.Duration(rapid.IntRange(-int(MaxClockSkew/time.Millisecond), int(MaxClockSkew/time.Millisecond)).Draw(t, "skew")) * time.Millisecond
 	id := uuid.UUID{}
 	binary.BigEndian.PutUint64(id[:], uint64(m.now.Add(offset).UnixMilli())<<16)
 	id[6] = 0x70
@@ -138,7 +138,7 @@
 	slices.SortFunc(known, func(a, b Key) int { return strings.Compare(a.Text, b.Text) })
 	if len(known) > 0 && rapid.IntRange(0, 3).Draw(t, "retry") > 0 {
 		k := known[rapid.IntRange(0, len(known)-1).Draw(t, "which")]
-		opaque := k.Age(m.now, modelWindow) == modelWindow
+		opaque := k.MaxAge(m.now, modelWindow) == modelWindow
 		return k, !opaque || m.now.Sub(m.firstSent[k]) <= modelWindow-modelTimeout
 	}
 	text := fmt.Sprintf("k%d", len(m.firstSent))
@@ -205,7 +205,7 @@
 // confirm makes a daemon ask all hosts of its retained lists for their list reports.
 func (m *model) confirm(d *modelDaemon) {
 	reports := map[string]ListReport{}
-	for _, name := range d.history.Everyone(m.now) {
+	for _, name := range d.history.AllHosts(m.now) {
 		if name != d.name && m.canReach(d.name, name) {
 			reports[name] = m.daemon(name).history.Report()
 		}
@@ -222,25 +222,25 @@
 		return false
 	}
 	evidence := Evidence{
-		Self: d.name, Own: d.ledger.Own(m.now), Moves: a.ticket.Moves, Window: modelWindow,
-		Need: a.key.Age(m.now, modelWindow), Required: d.history.Required(a.key, m.now),
+		Self: d.name, Own: d.ledger.Coverage(m.now), Transfers: a.ticket.Transfers, Window: modelWindow,
+		MaxKeyAge: a.key.MaxAge(m.now, modelWindow), PossibleHolders: d.history.PossibleHolders(a.key, m.now),
 	}
-	if evidence.Need > modelWindow {
+	if evidence.MaxKeyAge > modelWindow {
 		return false
 	}
-	if !evidence.Asking() {
+	if !evidence.NeedsRecall() {
 		return true
 	}
 	evidence.Replies = map[string]RecallReply{}
-	for _, name := range d.history.Everyone(m.now) {
+	for _, name := range d.history.AllHosts(m.now) {
 		if name != d.name && m.canReach(d.name, name) {
 			other := m.daemon(name)
 			reply := other.ledger.Recall(a.key, d.name, m.now)
-			reply.Required = other.history.Required(a.key, m.now)
+			reply.PossibleHolders = other.history.PossibleHolders(a.key, m.now)
 			evidence.Replies[name] = reply
 		}
 	}
-	return evidence.New()
+	return evidence.ProvesNew()
 }
 
 // leave stops a daemon that runs no request, after it handed its records over.
@@ -250,7 +250,7 @@
 			return
 		}
 	}
-	records, age := d.ledger.Records(m.now), d.ledger.Own(m.now).Age
+	records, age := d.ledger.Records(m.now), d.ledger.Coverage(m.now).MemoryAge
 	for _, name := range d.hosts {
 		if name != d.name && m.canReach(d.name, name) {
 			m.daemon(name).ledger.Inherit(d.name, records, age, m.now)
--- a/internal/fleet/ledger/recall.go
+++ b/internal/fleet/ledger/recall.go
@@ -6,8 +6,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Move records that another daemon recalled the key and may run its request, and how long ago it first recalled it.
-type Move struct {
+// Transfer records that another daemon recalled the key and may run its request, and how long ago it first recalled it.
+type Transfer struct {
 	To  string        `msgpack:"to"`
 	Ago time.Duration `msgpack:"ago"`
 }
@@ -17,22 +17,22 @@
 	State       State       `msgpack:"state"`
 	Fingerprint Fingerprint `msgpack:"fingerprint"`
 	Answer      call.Answer `msgpack:"answer"`
-	Kept        bool        `msgpack:"kept"`
-	Moves       []Move      `msgpack:"moves"`
-	// Age is how far back the daemon's own records are complete.
-	Age time.Duration `msgpack:"age"`
-	// Legacies say how far back the records reach that leaving daemons handed over to it, by host.
-	Legacies map[string]time.Duration `msgpack:"legacies"`
+	HasAnswer   bool        `msgpack:"kept"`
+	Transfers   []Transfer  `msgpack:"moves"`
+	// MemoryAge is how far back the daemon's own records are complete.
+	MemoryAge time.Duration `msgpack:"age"`
+	// Inherited says how far back the records reach that leaving daemons handed over to it, by host.
+	Inherited map[string]time.Duration `msgpack:"legacies"`
 	// Lists is the daemon's report on its host lists.
 	Lists ListReport `msgpack:"word"`
-	// Required are the daemons that may have held the key, according to the replying daemon's lists.
-	Required []string `msgpack:"required"`
+	// PossibleHolders are the daemons that may have held the key, according to the replying daemon's lists.
+	PossibleHolders []string `msgpack:"required"`
 }
 
-func (e *entry) transferList(now time.Time) []Move {
-	var transfers []Move
+func (e *entry) transferList(now time.Time) []Transfer {
+	var transfers []Transfer
 	for to, at := range e.transfers {
-		transfers = append(transfers, Move{To: to, Ago: now.Sub(at)})
+		transfers = append(transfers, Transfer{To: to, Ago: now.Sub(at)})
 	}
 	return transfers
 }
@@ -58,7 +58,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
-	reply := RecallReply{Age: l.memoryAge(now), Legacies: l.inheritedAges(now)}
+	reply := RecallReply{MemoryAge: l.memoryAge(now), Inherited: l.inheritedAges(now)}
 	e, ok := l.entries[k]
 	if !ok {
 		if e, ok = l.add(k, now); !ok {
@@ -66,10 +66,10 @@
 			reply.State = Lost
 			return reply
 		}
-		e.state = Moved
+		e.state = Transferred
 	}
-	reply.State, reply.Fingerprint, reply.Answer, reply.Kept, reply.Moves = e.state, e.fingerprint, e.answer, e.hasAnswer, e.transferList(now)
-	if e.state == Moved {
+	reply.State, reply.Fingerprint, reply.Answer, reply.HasAnswer, reply.Transfers = e.state, e.fingerprint, e.answer, e.hasAnswer, e.transferList(now)
+	if e.state == Transferred {
 		reply.State = Absent
 		e.recordTransfer(asker, now)
 		l.renew(e, now)
@@ -77,12 +77,12 @@
 	return reply
 }
 
-// Own returns how far back the daemon's own and its inherited records reach.
-func (l *Ledger) Own(now time.Time) RecallReply {
+// Coverage returns how far back the daemon's own and its inherited records reach.
+func (l *Ledger) Coverage(now time.Time) RecallReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
-	return RecallReply{Age: l.memoryAge(now), Legacies: l.inheritedAges(now)}
+	return RecallReply{MemoryAge: l.memoryAge(now), Inherited: l.inheritedAges(now)}
 }
 
 func (l *Ledger) memoryAge(now time.Time) time.Duration { return min(now.Sub(l.started), l.window) }
@@ -101,8 +101,8 @@
 	Fingerprint Fingerprint `msgpack:"fingerprint"`
 	State       State       `msgpack:"state"`
 	Answer      call.Answer `msgpack:"answer"`
-	Kept        bool        `msgpack:"kept"`
-	Moves       []Move      `msgpack:"moves"`
+	HasAnswer   bool        `msgpack:"kept"`
+	Transfers   []Transfer  `msgpack:"moves"`
 }
 
 // Records returns the records that a leaving daemon hands over; a running request counts as lost.
@@ -118,8 +118,8 @@
 			state = Lost
 		}
 		records = append(records, Record{
-			Key: e.key, Fingerprint: e.fingerprint, State: state, Answer: e.answer, Kept: e.hasAnswer,
-			Moves: e.transferList(now),
+			Key: e.key, Fingerprint: e.fingerprint, State: state, Answer: e.answer, HasAnswer: e.hasAnswer,
+			Transfers: e.transferList(now),
 		})
 	}
 	return records
@@ -149,16 +149,16 @@
 		if e, ok = l.add(record.Key, now); !ok {
 			return false
 		}
-		e.state = Moved
+		e.state = Transferred
 	}
-	for _, transfer := range record.Moves {
+	for _, transfer := range record.Transfers {
 		e.recordTransfer(transfer.To, now.Add(-transfer.Ago))
 	}
-	if e.state != Moved || record.State == Moved {
+	if e.state != Transferred || record.State == Transferred {
 		return true
 	}
 	e.state, e.fingerprint = record.State, record.Fingerprint
-	if record.Kept {
+	if record.HasAnswer {
 		l.keepAnswer(e, record.Answer)
 	}
 	return true
--- a/internal/fleet/ledger/state.go
+++ b/internal/fleet/ledger/state.go
@@ -15,8 +15,8 @@
 	Finished // finished
 	// Lost means that its request may have run, without a whole response.
 	Lost // lost
-	// Moved means that another daemon recalled the key and may run its request.
-	Moved // moved
+	// Transferred means that another daemon recalled the key and may run its request.
+	Transferred // moved
 )
 
 // Claim says how a request with a key must proceed.
--- a/internal/fleet/ledger/state_string.go
+++ b/internal/fleet/ledger/state_string.go
@@ -12,7 +12,7 @@
 	_ = x[Running-1]
 	_ = x[Finished-2]
 	_ = x[Lost-3]
-	_ = x[Moved-4]
+	_ = x[Transferred-4]
 }
 
 const _State_name = "absentrunningfinishedlostmoved"
--- a/internal/fleet/ledger/vouch.go
+++ b/internal/fleet/ledger/vouch.go
@@ -11,14 +11,14 @@
 	// Self is the asking daemon, and Own says how far back its records reach.
 	Self string
 	Own  RecallReply
-	// Moves are the daemons that recalled the key from the asking daemon earlier.
-	Moves []Move
+	// Transfers are the daemons that recalled the key from the asking daemon earlier.
+	Transfers []Transfer
 	// Window is how long keys are remembered.
 	Window time.Duration
-	// Need is how far back records must reach: the key's maximum age.
-	Need time.Duration
-	// Required are the daemons that may have held the key within that time.
-	Required []string
+	// MaxKeyAge is how far back records must reach: the key's maximum age.
+	MaxKeyAge time.Duration
+	// PossibleHolders are the daemons that may have held the key within that time.
+	PossibleHolders []string
 	// Replies are the replies to the recall, by host.
 	Replies map[string]RecallReply
 }
@@ -26,40 +26,40 @@
 // Known returns another daemon's reply that has a record of the key's request, or false.
 func (e *Evidence) Known() (RecallReply, bool) {
 	for _, reply := range e.Replies {
-		if reply.State != Absent && reply.State != Moved {
+		if reply.State != Absent && reply.State != Transferred {
 			return reply, true
 		}
 	}
 	return RecallReply{}, false
 }
 
-// New reports whether no daemon can have run the key's request.
+// ProvesNew reports whether no daemon can have run the key's request.
 //
 // For each daemon that may have held the key, records must reach far enough back:
 // its own, or those that it handed over when it left. A daemon that crashed or
 // can't be reached leaves doubt, and in doubt the request does not run: a second
 // charge is worse than a response that the outcome is unknown. A key that was
 // transferred to a daemon which has since lost its records is in doubt too.
-func (e *Evidence) New() bool {
+func (e *Evidence) ProvesNew() bool {
 	if _, known := e.Known(); known {
 		return false
 	}
-	if !e.allCovered(e.Required) || !e.transfersCovered(e.Moves) {
+	if !e.allCovered(e.PossibleHolders) || !e.transfersCovered(e.Transfers) {
 		return false
 	}
 	for _, reply := range e.Replies {
-		if !e.allCovered(reply.Required) || !e.transfersCovered(reply.Moves) {
+		if !e.allCovered(reply.PossibleHolders) || !e.transfersCovered(reply.Transfers) {
 			return false
 		}
 	}
 	return true
 }
 
-// Pending reports whether only missing replies keep the key in doubt, so that a later recall may settle it.
+// OnlyRepliesMissing reports whether only missing replies keep the key in doubt, so that a later recall may settle it.
 //
 // An unreachable region has lost no records. If its silence were reported like a crash, callers would be told
 // that a retry does not help, and would have to check by hand for bookings that were never begun.
-func (e *Evidence) Pending() bool {
+func (e *Evidence) OnlyRepliesMissing() bool {
 	assumed := *e
 	assumed.Replies = maps.Clone(e.Replies)
 	if assumed.Replies == nil {
@@ -67,17 +67,17 @@
 	}
 	for _, host := range e.hostsNeeded() {
 		if _, ok := e.memoryAge(host); !ok {
-			assumed.Replies[host] = RecallReply{Age: math.MaxInt64}
+			assumed.Replies[host] = RecallReply{MemoryAge: math.MaxInt64}
 		}
 	}
-	return !e.New() && assumed.New()
+	return !e.ProvesNew() && assumed.ProvesNew()
 }
 
 // hostsNeeded returns the daemons whose replies the decision needs, according to this daemon and the replies received.
 func (e *Evidence) hostsNeeded() []string {
-	hosts, transfers := e.Required, e.Moves
+	hosts, transfers := e.PossibleHolders, e.Transfers
 	for _, reply := range e.Replies {
-		hosts, transfers = append(hosts[:len(hosts):len(hosts)], reply.Required...), append(transfers[:len(transfers):len(transfers)], reply.Moves...)
+		hosts, transfers = append(hosts[:len(hosts):len(hosts)], reply.PossibleHolders...), append(transfers[:len(transfers):len(transfers)], reply.Transfers...)
 	}
 	for _, transfer := range transfers {
 		hosts = append(hosts[:len(hosts):len(hosts)], transfer.To)
@@ -85,15 +85,15 @@
 	return hosts
 }
 
-// Asking reports whether the key has to be recalled from other daemons; while
+// NeedsRecall reports whether the key has to be recalled from other daemons; while
 // the host list is unchanged, the holder's own records are enough.
-func (e *Evidence) Asking() bool {
-	for _, host := range e.Required {
+func (e *Evidence) NeedsRecall() bool {
+	for _, host := range e.PossibleHolders {
 		if host != e.Self {
 			return true
 		}
 	}
-	return len(e.Moves) > 0 || e.Own.Age < e.Need
+	return len(e.Transfers) > 0 || e.Own.MemoryAge < e.MaxKeyAge
 }
 
 func (e *Evidence) allCovered(hosts []string) bool {
@@ -107,14 +107,14 @@
 
 // covered reports whether a daemon's records, its own or those that it handed over, reach back far enough.
 func (e *Evidence) covered(host string) bool {
-	if age, ok := e.memoryAge(host); ok && age >= e.Need {
+	if age, ok := e.memoryAge(host); ok && age >= e.MaxKeyAge {
 		return true
 	}
-	if e.Own.Legacies[host] >= e.Need {
+	if e.Own.Inherited[host] >= e.MaxKeyAge {
 		return true
 	}
 	for _, reply := range e.Replies {
-		if reply.Legacies[host] >= e.Need {
+		if reply.Inherited[host] >= e.MaxKeyAge {
 			return true
 		}
 	}
@@ -122,7 +122,7 @@
 }
 
 // transfersCovered reports whether the daemons that a key was transferred to still have their records since then.
-func (e *Evidence) transfersCovered(transfers []Move) bool {
+func (e *Evidence) transfersCovered(transfers []Transfer) bool {
 	for _, transfer := range transfers {
 		age, ok := e.memoryAge(transfer.To)
 		if !ok || (age <= transfer.Ago && age < e.Window) {
@@ -134,8 +134,8 @@
 
 func (e *Evidence) memoryAge(host string) (time.Duration, bool) {
 	if host == e.Self {
-		return e.Own.Age, true
+		return e.Own.MemoryAge, true
 	}
 	reply, ok := e.Replies[host]
-	return reply.Age, ok
+	return reply.MemoryAge, ok
 }
