--- a/internal/fleet/ledger/doc.go
+++ b/internal/fleet/ledger/doc.go
@@ -7,7 +7,7 @@
 // When the host list changes, keys change holders. A History keeps the earlier
 // lists on which some hosts may still act, and so names the daemons that may have
 // held a key. A new holder recalls the key from those daemons: each replies
-// with what it knows and records that the key went to the asking daemon, so that
+// with what it knows and records the transfer of the key to the asking daemon, so that
 // it will in turn ask before it runs that request. Evidence collects
 // these replies and decides whether no daemon can have run the request. A daemon
 // that shuts down hands its records over to others, which inherit them.
