--- a/internal/fleet/spread/archive_test.go
+++ b/internal/fleet/spread/archive_test.go
@@ -13,8 +13,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/member"
 )
 
-func TestSplicesGiveTheValue(t *testing.T) {
-	Convey("Whatever the edits and whatever a peer has, it ends up with the value in force", t, func() {
+func TestSplicesRebuildValue(t *testing.T) {
+	Convey("After any edits and from any version, a peer ends up with the value in force", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			var a Archive
 			var values []lists.Value
@@ -27,23 +27,23 @@
 			if at := rapid.IntRange(-1, len(values)-1).Draw(t, "have"); at >= 0 {
 				have = values[at]
 			}
-			last := values[len(values)-1]
+			newest := values[len(values)-1]
 			packet := a.Packet(Fetch{Kind: lists.KindKeys, Have: have.Version})
-			if have.Version == last.Version {
+			if have.Version == newest.Version {
 				return
 			}
 			got, err := packet.Open(have)
-			if err != nil || string(got.Raw) != string(last.Raw) || got.Version != last.Version {
-				t.Fatalf("from %v to %v: %v, %v", have, last, got, err)
+			if err != nil || string(got.Raw) != string(newest.Raw) || got.Version != newest.Version {
+				t.Fatalf("from %v to %v: %v, %v", have, newest, got, err)
 			}
 		})
 	})
 }
 
-func TestSpliceOntoOtherBytes(t *testing.T) {
-	// Two platforms, or one that was set up anew, gave the same version number to
-	// different values. Spliced together they would make a list nobody published.
-	Convey("Splices that were made for other bytes are noticed", t, func() {
+func TestSpliceChecksum(t *testing.T) {
+	// Two platforms, or one that was reinstalled, gave the same version number to
+	// different values. Splices of one applied to the other would give a list that was never published.
+	Convey("Splices that were made for other bytes are detected", t, func() {
 		var a Archive
 		a.Store(lists.Value{Kind: lists.KindKeys, Version: 1, Raw: []byte(strings.Repeat("same", 50) + "one")})
 		a.Store(lists.Value{Kind: lists.KindKeys, Version: 2, Raw: []byte(strings.Repeat("same", 50) + "two")})
@@ -56,7 +56,7 @@
 		_, err := packet.Open(lists.Value{Kind: lists.KindKeys, Version: 0})
 		So(err, ShouldWrap, ErrSplice)
 	})
-	Convey("An answer of a peer that has nothing newer asks for no whole value", t, func() {
+	Convey("An empty packet, from a peer that has nothing newer, is no reason to fetch the whole value", t, func() {
 		var a Archive
 		a.Store(lists.Value{Kind: lists.KindKeys, Version: 2, Raw: []byte("two")})
 		for _, have := range []uint64{2, 3} {
@@ -67,10 +67,10 @@
 	})
 }
 
-func TestSmallOnTheWire(t *testing.T) {
-	// 3,400 daemons tell each other of their versions every second, and a host
-	// that leaves alters one entry of a list of 440 kB.
-	Convey("A digest takes a hundred bytes, and one changed host some hundred more", t, func() {
+func TestWireSizes(t *testing.T) {
+	// 3,400 daemons exchange their versions every second, and a host that
+	// leaves alters one entry of a list of 440 kB: larger messages would exceed the bandwidth of a daemon.
+	Convey("A digest takes about a hundred bytes, and the change of one host less than two hundred", t, func() {
 		digest := Digest{Host: "lookup-1234", Incarnation: 1 << 60, Versions: Versions{90000, 90000, 90000, 90000}, Age: 1 << 33}
 		raw, err := msgpack.Marshal(digest)
 		So(err, ShouldBeNil)
--- a/internal/fleet/spread/digest.go
+++ b/internal/fleet/spread/digest.go
@@ -10,18 +10,18 @@
 // Versions holds a version for each list; 0 means none.
 type Versions = [lists.Kinds]uint64
 
-// Digest is what a daemon tells a peer of itself: about a hundred bytes, whatever the lists weigh.
+// Digest is what a daemon reports of itself to a peer: about a hundred bytes, regardless of the size of the lists.
 type Digest struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack    struct{} `msgpack:",as_array"`
 	Host        string
 	Incarnation uint64
-	// Versions are those in force; a rejected version is never told, so nobody is led to fetch it.
+	// Versions are those in force; a rejected version is never reported, so that no peer fetches it.
 	Versions Versions
-	// Ready tells that the daemon takes callers, so that its versions were confirmed by others.
+	// Ready means that the daemon takes callers, so its versions were confirmed.
 	Ready   bool
 	Leaving bool
-	// Age is the time since the platform last answered anyone this daemon heard of; negative means never.
+	// Age is the time since the platform last answered any daemon, as far as this one knows; negative means unknown.
 	Age  time.Duration
 	News []member.News
 }
@@ -31,6 +31,6 @@
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
 	Kind     lists.Kind
-	// Have is the version in force at the one who asks, from which the answer may be a delta.
+	// Have is the version in force at the asking daemon, from which the answer may be a delta.
 	Have uint64
 }
--- a/internal/fleet/spread/events_test.go
+++ b/internal/fleet/spread/events_test.go
@@ -8,16 +8,16 @@
 }
 
 type event struct {
-	at     time.Time
-	serial int
-	run    func()
+	at       time.Time
+	sequence int
+	run      func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at.Before(e[j].at) || (e[i].at.Equal(e[j].at) && e[i].serial < e[j].serial)
+	return e[i].at.Before(e[j].at) || (e[i].at.Equal(e[j].at) && e[i].sequence < e[j].sequence)
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
--- a/internal/fleet/spread/neighbours.go
+++ b/internal/fleet/spread/neighbours.go
@@ -10,26 +10,31 @@
 )
 
 const (
-	// Neighbours of a daemon: enough near ones to fill the availability zone in a
-	// few steps of a millisecond, enough far ones that a cut region or zone still has many ways in.
-	nearNeighbours     = 5
-	zoneNeighbours     = 3
-	regionNeighbours   = 2
-	neighbourCount     = nearNeighbours + zoneNeighbours + regionNeighbours
-	pushWidth          = 6
-	renewEvery         = 10 * time.Second
-	neighbourTries     = 8
-	standbysPerReaders = 2 * readersPerZone
+	// Neighbours in the same availability zone, in other availability zones of the region, and in other regions:
+	// enough in the same one that a change reaches all of its daemons in a few hops of a millisecond, and enough
+	// elsewhere that a change still finds many paths into a partially partitioned region or availability zone.
+	sameZoneNeighbours    = 5
+	sameRegionNeighbours  = 3
+	otherRegionNeighbours = 2
+	neighbourCount        = sameZoneNeighbours + sameRegionNeighbours + otherRegionNeighbours
+	// pushFanout is the number of neighbours that a push goes to.
+	pushFanout = 6
+	// replaceInterval is the time after which the oldest neighbour is replaced.
+	replaceInterval = 10 * time.Second
+	// triesPerNeighbour bounds the random draws for each neighbour that is wanted.
+	triesPerNeighbour = 8
+	// monitorRanks is the number of first-ranked hosts of an availability zone that keep the readers ranked before them as neighbours.
+	monitorRanks = 2 * readersPerZone
 )
 
 // neighbours are the few peers that a daemon keeps connections to for digests.
 //
 // Random peers for each digest would open a connection every second; a fixed
-// set would leave a daemon alone once all of it fails. So one neighbour is
-// replaced every renewEvery.
+// set would leave a daemon isolated once all of it fails. So one neighbour is
+// replaced every replaceInterval.
 type neighbours struct {
-	hosts   []lists.Host
-	renewed time.Time
+	hosts      []lists.Host
+	replacedAt time.Time
 }
 
 func (n *neighbours) reset() { n.hosts = nil }
@@ -46,8 +51,8 @@
 	return out
 }
 
-// renew fills the set and replaces the oldest neighbour from time to time, and every one that can't be used.
-func (n *neighbours) renew(c *Core, now time.Time, skip func(host string) bool) {
+// refresh removes neighbours to skip, replaces the oldest one every replaceInterval, and fills the set.
+func (n *neighbours) refresh(c *Core, now time.Time, skip func(host string) bool) {
 	kept := n.hosts[:0]
 	for _, h := range n.hosts {
 		if !skip(h.Host) {
@@ -55,26 +60,26 @@
 		}
 	}
 	n.hosts = kept
-	if now.Sub(n.renewed) >= renewEvery && len(n.hosts) >= neighbourCount {
+	if now.Sub(n.replacedAt) >= replaceInterval && len(n.hosts) >= neighbourCount {
 		n.hosts = n.hosts[1:]
-		n.renewed = now
+		n.replacedAt = now
 	}
-	if len(n.hosts) < neighbourCount && len(n.hosts) < len(c.others) {
+	if len(n.hosts) < neighbourCount && len(n.hosts) < len(c.activePeers) {
 		n.fill(c, skip)
 	}
 }
 
 func (n *neighbours) fill(c *Core, skip func(host string) bool) {
-	for _, h := range c.standbyFor() {
+	for _, h := range c.monitoredReaders() {
 		n.add(h, skip)
 	}
 	groups := []struct {
 		count int
 		match func(lists.Host) bool
 	}{
-		{nearNeighbours, func(h lists.Host) bool { return h.Zone == c.config.Zone }},
-		{zoneNeighbours, func(h lists.Host) bool { return h.Zone != c.config.Zone && h.Region == c.config.Region }},
-		{regionNeighbours, func(h lists.Host) bool { return h.Region != c.config.Region }},
+		{sameZoneNeighbours, func(h lists.Host) bool { return h.Zone == c.config.Zone }},
+		{sameRegionNeighbours, func(h lists.Host) bool { return h.Zone != c.config.Zone && h.Region == c.config.Region }},
+		{otherRegionNeighbours, func(h lists.Host) bool { return h.Region != c.config.Region }},
 		{neighbourCount, func(lists.Host) bool { return true }},
 	}
 	for _, g := range groups {
@@ -82,7 +87,7 @@
 	}
 }
 
-// fillFrom adds random hosts of a group until it has its count or luck runs out.
+// fillFrom adds random hosts that match until the set has count of them or the tries are used up.
 func (n *neighbours) fillFrom(c *Core, count int, match func(lists.Host) bool, skip func(host string) bool) {
 	have := 0
 	for _, h := range n.hosts {
@@ -90,8 +95,8 @@
 			have++
 		}
 	}
-	for tries := 0; tries < neighbourTries*count && have < count && len(n.hosts) < neighbourCount; tries++ {
-		h := c.randomOther()
+	for tries := 0; tries < triesPerNeighbour*count && have < count && len(n.hosts) < neighbourCount; tries++ {
+		h := c.randomPeer()
 		if match(h) && n.add(h, skip) {
 			have++
 		}
@@ -111,23 +116,23 @@
 	return true
 }
 
-// standbyFor returns the readers that this daemon is next in line for: it has to see for itself whether they live.
-func (c *Core) standbyFor() []lists.Host {
+// monitoredReaders returns the readers that this daemon is next to replace: it has to find out itself whether they are reachable.
+func (c *Core) monitoredReaders() []lists.Host {
 	for i, h := range c.ranked {
-		if h.Host == c.config.Host && i < standbysPerReaders {
+		if h.Host == c.config.Host && i < monitorRanks {
 			return c.ranked[:min(i, readersPerZone)]
 		}
 	}
 	return nil
 }
 
-// sample returns up to so many different random hosts of the list.
-func (c *Core) sample(count int) []netip.AddrPort {
-	count = min(count, len(c.others))
+// randomPeers returns the addresses of up to count different random active peers.
+func (c *Core) randomPeers(count int) []netip.AddrPort {
+	count = min(count, len(c.activePeers))
 	out := make([]netip.AddrPort, 0, count)
-	for tries := 0; tries < neighbourTries*count && len(out) < count; tries++ {
-		if to := c.randomOther().Peer; !slices.Contains(out, to) {
-			out = append(out, to)
+	for tries := 0; tries < triesPerNeighbour*count && len(out) < count; tries++ {
+		if peer := c.randomPeer().Peer; !slices.Contains(out, peer) {
+			out = append(out, peer)
 		}
 	}
 	return out
--- a/internal/fleet/spread/network_platform_test.go
+++ b/internal/fleet/spread/network_platform_test.go
@@ -6,7 +6,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// read is one look at the platform.
+// read reads the hosts list or all lists from the platform.
 func (d *node) read(what Read) {
 	n := d.net
 	kinds := []lists.Kind{lists.KindHosts}
@@ -14,53 +14,55 @@
 		kinds = []lists.Kind{lists.KindPlans, lists.KindUses, lists.KindKeys, lists.KindHosts}
 	}
 	n.reads += len(kinds)
-	n.called(len(kinds))
-	d.takeFrom(kinds, what == ReadAll)
+	n.countCalls(len(kinds))
+	d.readKinds(kinds, what == ReadAll)
 }
 
-// watch is a reader's look at each tick; a watch itself is one call a list and watch length.
+// watch passes what a reader's watches deliver, at each tick; it counts as one call for each list every watchLength.
 func (d *node) watch() {
 	n := d.net
-	if n.now.Sub(d.watched) >= watchTime {
+	if n.now.Sub(d.watched) >= watchLength {
 		d.watched = n.now
-		n.called(lists.Kinds)
+		n.countCalls(lists.Kinds)
 	}
-	d.takeFrom([]lists.Kind{lists.KindPlans, lists.KindUses, lists.KindKeys, lists.KindHosts}, false)
+	d.readKinds([]lists.Kind{lists.KindPlans, lists.KindUses, lists.KindKeys, lists.KindHosts}, false)
 }
 
-func (d *node) takeFrom(kinds []lists.Kind, all bool) {
+// readKinds delivers the lists of the given kinds that the platform serves, unless it is down for the node's availability zone.
+func (d *node) readKinds(kinds []lists.Kind, all bool) {
 	n := d.net
 	if n.down[d.host.Zone] {
 		return
 	}
 	for _, k := range kinds {
-		d.offer(n.served[k])
+		d.receive(n.served[k])
 	}
 	d.core.PlatformAnswered(n.now, n.now, all && n.served[lists.KindHosts].Version > 0)
 }
 
-// called counts calls of the platform, and the most in any second by the slots of a twentieth of it.
-func (n *network) called(count int) {
+// countCalls counts calls to the platform, and the maximum in any second, in slots of slotLength.
+func (n *network) countCalls(count int) {
 	n.calls += count
-	slot := n.now.UnixMilli() / slotTime.Milliseconds()
+	slot := n.now.UnixMilli() / slotLength.Milliseconds()
 	n.slots[slot] += count
 	sum := 0
-	for i := range int64(time.Second / slotTime) {
+	for i := range int64(time.Second / slotLength) {
 		sum += n.slots[slot-i]
 	}
 	n.busiest = max(n.busiest, sum)
 }
 
-func (d *node) offer(v lists.Value) {
+// receive accepts or rejects a value that the node has read or fetched.
+func (d *node) receive(v lists.Value) {
 	now := d.net.now
-	if v.Version <= d.have[v.Kind].Version {
+	if v.Version <= d.values[v.Kind].Version {
 		return
 	}
-	if bad(v) && !d.lenient {
+	if invalid(v) && !d.lenient {
 		d.core.Rejected(v.Kind, v.Version, now)
 		return
 	}
-	d.have[v.Kind] = v
+	d.values[v.Kind] = v
 	d.changes[v.Kind] = append(d.changes[v.Kind], change{at: now, version: v.Version})
 	d.archive.Store(v)
 	if v.Kind == lists.KindHosts {
--- a/internal/fleet/spread/network_test.go
+++ b/internal/fleet/spread/network_test.go
@@ -12,73 +12,78 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/member"
 )
 
-// network carries the cores' messages in virtual time, with loss, cuts and pauses. It
-// keeps its own plain account of versions, which the checks go by.
+// network carries the cores' messages in virtual time, with loss, partitions and pauses. It
+// keeps its own record of versions, which the checks use.
 type network struct {
-	rng    *rand.Rand
-	now    time.Time
-	events events
-	serial int
-	hosts  []lists.Host
-	nodes  map[string]*node
-	byPeer map[netip.AddrPort]*node
-
-	loss   float64
-	apart  func(a, b string) bool
+	rng      *rand.Rand
+	now      time.Time
+	events   events
+	sequence int
+	hosts    []lists.Host
+	nodes    map[string]*node
+	byPeer   map[netip.AddrPort]*node
+
+	// loss is the fraction of messages that are lost.
+	loss        float64
+	partitioned func(a, b string) bool
+	// served are the values that the platform serves, older than newest while it is stale.
 	served [lists.Kinds]lists.Value
 	newest [lists.Kinds]lists.Value
-	// rejoined is when a cut was last made or healed; what was out of reach until then is not yet held against anyone.
-	rejoined time.Time
-	down     map[string]bool
-	stale    bool
+	// reachChangedAt is when a partition last began or healed; for maxLag after it, nodes need not have the versions of those in reach.
+	reachChangedAt time.Time
+	// down has the availability zones that can't reach the platform.
+	down  map[string]bool
+	stale bool
 
 	exchanges int
-	// reads are the reads of the platform, calls these and watches, slots the calls by time, and busiest the most in a second.
+	// reads counts reads of the platform, calls reads and watches, slots the calls by time; busiest is the maximum of calls in a second.
 	reads   int
 	calls   int
 	slots   map[int64]int
 	busiest int
-	// faults collects what must never happen.
+	// faults collects violations of what must always hold.
 	faults []string
 }
 
-// node is one daemon: a core with what the control thread would keep beside it.
+// node is one daemon: a core with the state that the control goroutine would keep.
 type node struct {
 	net         *network
 	host        lists.Host
 	core        *Core
 	archive     *Archive
 	members     *member.Table
-	have        [lists.Kinds]lists.Value
+	values      [lists.Kinds]lists.Value
 	changes     [lists.Kinds][]change
 	incarnation int
 	alive       bool
 	paused      bool
-	waiting     []func()
-	pending     map[netip.AddrPort]bool
-	tried       map[string]int
-	servingAt   time.Time
-	watched     time.Time
-	seeds       []netip.AddrPort
+	// deferred are the calls that wait until the node's process resumes.
+	deferred []func()
+	pending  map[netip.AddrPort]bool
+	// fetches counts fetches by list and version.
+	fetches   map[string]int
+	servingAt time.Time
+	watched   time.Time
+	seeds     []netip.AddrPort
 	// lenient is a daemon of another release, which accepts what the others reject.
 	lenient bool
 }
 
 const (
-	tickEvery   = 100 * time.Millisecond
-	messageTime = time.Second
-	watchTime   = 5 * time.Second
-	slotTime    = 50 * time.Millisecond
-	// settled is how long a daemon must have taken callers before others are held to what it has.
-	settled = 4 * time.Second
-	// lagAllowed is the time within which a change is to be in force everywhere.
-	lagAllowed = 3 * time.Second
+	tickInterval   = 100 * time.Millisecond
+	messageTimeout = time.Second
+	watchLength    = 5 * time.Second
+	slotLength     = 50 * time.Millisecond
+	// settledAfter is how long a daemon must have taken callers before others must have its versions.
+	settledAfter = 4 * time.Second
+	// maxLag is the time within which a change is to be in force everywhere.
+	maxLag = 3 * time.Second
 )
 
 func newNetwork(rng *rand.Rand, zones, perZone int) *network {
 	n := &network{
 		rng: rng, now: time.Unix(1_000_000, 0), nodes: map[string]*node{}, byPeer: map[netip.AddrPort]*node{},
-		apart: func(string, string) bool { return false }, down: map[string]bool{}, slots: map[int64]int{},
+		partitioned: func(string, string) bool { return false }, down: map[string]bool{}, slots: map[int64]int{},
 	}
 	for i := range zones * perZone {
 		zone := i % zones
@@ -94,8 +99,8 @@
 }
 
 func (n *network) after(d time.Duration, run func()) {
-	n.serial++
-	heap.Push(&n.events, event{at: n.now.Add(d), serial: n.serial, run: run})
+	n.sequence++
+	heap.Push(&n.events, event{at: n.now.Add(d), sequence: n.sequence, run: run})
 }
 
 func (n *network) advance(d time.Duration) {
@@ -121,22 +126,22 @@
 	}
 }
 
-// sound is the newest version that isn't rejected; the network publishes at most one bad value in a row.
-func (n *network) sound(k lists.Kind) uint64 {
-	if bad(n.newest[k]) {
+// newestValid returns the newest version that isn't rejected; the network publishes at most one invalid value in a row.
+func (n *network) newestValid(k lists.Kind) uint64 {
+	if invalid(n.newest[k]) {
 		return n.newest[k].Version - 1
 	}
 	return n.newest[k].Version
 }
 
-func bad(v lists.Value) bool { return strings.HasPrefix(string(v.Raw), "bad") }
+func invalid(v lists.Value) bool { return strings.HasPrefix(string(v.Raw), "bad") }
 
-// each runs f on the node's thread: at once, after its pause, or never where its process has ended.
-func (d *node) each(incarnation int, f func()) {
+// run runs f in the node's process: at once, after its pause, or never if the process has ended.
+func (d *node) run(incarnation int, f func()) {
 	switch {
 	case d.incarnation != incarnation || !d.alive:
 	case d.paused:
-		d.waiting = append(d.waiting, func() { d.each(incarnation, f) })
+		d.deferred = append(d.deferred, func() { d.run(incarnation, f) })
 	default:
 		f()
 	}
@@ -144,13 +149,13 @@
 
 func (d *node) start() {
 	d.incarnation++
-	d.alive, d.paused, d.waiting = true, false, nil
-	d.have, d.changes = [lists.Kinds]lists.Value{}, [lists.Kinds][]change{}
+	d.alive, d.paused, d.deferred = true, false, nil
+	d.values, d.changes = [lists.Kinds]lists.Value{}, [lists.Kinds][]change{}
 	d.archive, d.members = &Archive{}, member.New()
-	d.pending, d.tried = map[netip.AddrPort]bool{}, map[string]int{}
+	d.pending, d.fetches = map[netip.AddrPort]bool{}, map[string]int{}
 	d.servingAt, d.watched = time.Time{}, time.Time{}
 	d.core = New(Config{
-		Host: d.host.Host, Zone: d.host.Zone, Region: d.host.Region, Watch: watchTime, IsolationTime: time.Minute, Seeds: d.seeds,
+		Host: d.host.Host, Zone: d.host.Zone, Region: d.host.Region, Watch: watchLength, IsolationTime: time.Minute, Seeds: d.seeds,
 	}, rand.New(rand.NewPCG(d.net.rng.Uint64(), 1)), d.net.now)
 	d.tick(d.incarnation)
 }
@@ -159,30 +164,30 @@
 
 func (d *node) pause() { d.paused, d.servingAt = true, time.Time{} }
 
-// resume lets the process go on: what it had in its buffers is handled before anything new.
+// resume ends the pause of the process: what it had in its buffers is handled before anything new.
 func (d *node) resume() {
 	if !d.paused {
 		return
 	}
 	d.paused = false
-	d.look()
-	waiting := d.waiting
-	d.waiting = nil
-	for _, f := range waiting {
+	d.checkServing()
+	deferred := d.deferred
+	d.deferred = nil
+	for _, f := range deferred {
 		f()
-		d.look()
+		d.checkServing()
 	}
 }
 
-// takes is what a traffic thread would find at this moment.
-func (d *node) takes() bool {
-	s, looked := d.core.Standing()
-	return s.Takes(looked, d.net.now)
+// takesCallers reports whether a request goroutine would take a caller at this moment.
+func (d *node) takesCallers() bool {
+	s, lastTick := d.core.Standing()
+	return s.Takes(lastTick, d.net.now)
 }
 
-// look checks what must hold whenever a traffic thread may run.
-func (d *node) look() {
-	if !d.alive || d.paused || !d.takes() {
+// checkServing records a fault if the node begins to take callers with older versions than those in its reach.
+func (d *node) checkServing() {
+	if !d.alive || d.paused || !d.takesCallers() {
 		d.servingAt = time.Time{}
 		return
 	}
@@ -191,32 +196,32 @@
 	}
 	d.servingAt = d.net.now
 	for k := range lists.Kinds {
-		if least, ok := d.net.known(d, lists.Kind(k)); ok && d.have[k].Version < least {
-			d.net.faults = append(d.net.faults, fmt.Sprintf("%s takes callers at version %d of %s, all others in reach have %d or more",
-				d.host.Host, d.have[k].Version, lists.Kind(k), least))
+		if minVersion, ok := d.net.minVersionInReach(d, lists.Kind(k)); ok && d.values[k].Version < minVersion {
+			d.net.faults = append(d.net.faults, fmt.Sprintf("%s takes callers at version %d of %s, all other nodes in reach have at least %d",
+				d.host.Host, d.values[k].Version, lists.Kind(k), minVersion))
 		}
 	}
 }
 
-// known returns the least version in force at the other daemons in reach that have long taken callers.
-func (n *network) known(d *node, k lists.Kind) (uint64, bool) {
-	least, ok := uint64(0), false
-	if n.now.Sub(n.rejoined) < lagAllowed {
-		return least, ok
+// minVersionInReach returns the minimum version that the other nodes in reach had in force maxLag ago, among those that have taken callers for settledAfter.
+func (n *network) minVersionInReach(d *node, k lists.Kind) (uint64, bool) {
+	minVersion, ok := uint64(0), false
+	if n.now.Sub(n.reachChangedAt) < maxLag {
+		return minVersion, ok
 	}
-	for _, o := range n.nodes {
-		if o == d || !o.alive || o.paused || o.servingAt.IsZero() || n.now.Sub(o.servingAt) < settled || n.apart(d.host.Host, o.host.Host) {
+	for _, other := range n.nodes {
+		if other == d || !other.alive || other.paused || other.servingAt.IsZero() || n.now.Sub(other.servingAt) < settledAfter || n.partitioned(d.host.Host, other.host.Host) {
 			continue
 		}
-		if version := o.before(k, n.now.Add(-lagAllowed)); !ok || version < least {
-			least, ok = version, true
+		if version := other.versionAt(k, n.now.Add(-maxLag)); !ok || version < minVersion {
+			minVersion, ok = version, true
 		}
 	}
-	return least, ok
+	return minVersion, ok
 }
 
-// before returns the version that was in force at the node at the given time.
-func (d *node) before(k lists.Kind, at time.Time) uint64 {
+// versionAt returns the version that was in force at the node at the given time.
+func (d *node) versionAt(k lists.Kind, at time.Time) uint64 {
 	version := uint64(0)
 	for _, c := range d.changes[k] {
 		if !c.at.After(at) {
@@ -229,7 +234,7 @@
 func (d *node) skip(host string) bool { return d.members.Suspect(host) }
 
 func (d *node) tick(incarnation int) {
-	d.each(incarnation, func() {
+	d.run(incarnation, func() {
 		now := d.net.now
 		work := d.core.Tick(now, d.skip)
 		d.carryOut(work)
@@ -239,8 +244,8 @@
 		if d.core.Reads(d.skip) {
 			d.watch()
 		}
-		d.look()
-		d.net.after(tickEvery, func() { d.tick(incarnation) })
+		d.checkServing()
+		d.net.after(tickInterval, func() { d.tick(incarnation) })
 	})
 }
 
@@ -259,19 +264,19 @@
 func (d *node) digest() Digest {
 	var versions Versions
 	for k := range versions {
-		versions[k] = d.have[k].Version
+		versions[k] = d.values[k].Version
 	}
-	return Digest{Host: d.host.Host, Versions: versions, Ready: d.takes(), Age: d.core.Age(d.net.now)}
+	return Digest{Host: d.host.Host, Versions: versions, Ready: d.takesCallers(), Age: d.core.Age(d.net.now)}
 }
 
-// pass carries f from one node to another, or loses it.
-func (n *network) pass(from, to *node, incarnation int, f func()) {
+// deliver runs f, a message from one node, at another after the network delay, or loses it.
+func (n *network) deliver(from, to *node, incarnation int, f func()) {
 	if n.rng.Float64() < n.loss {
 		return
 	}
 	n.after(time.Millisecond+time.Duration(n.rng.Int64N(int64(4*time.Millisecond))), func() {
-		if !n.apart(from.host.Host, to.host.Host) {
-			to.each(incarnation, f)
+		if !n.partitioned(from.host.Host, to.host.Host) {
+			to.run(incarnation, f)
 		}
 	})
 }
@@ -284,57 +289,57 @@
 	d.pending[to] = true
 	n.exchanges++
 	digest := d.digest()
-	over := false
-	n.after(messageTime, func() {
-		d.each(own, func() {
-			if !over {
-				over = true
+	done := false
+	n.after(messageTimeout, func() {
+		d.run(own, func() {
+			if !done {
+				done = true
 				delete(d.pending, to)
 				d.members.Failed(peer.host.Host, n.now)
 			}
 		})
 	})
-	n.pass(d, peer, peer.incarnation, func() {
+	n.deliver(d, peer, peer.incarnation, func() {
 		peer.members.Reached(d.host.Host)
 		peer.carryOut(peer.core.Hear(digest, n.now))
 		answer := peer.digest()
-		n.pass(peer, d, own, func() {
-			if over {
+		n.deliver(peer, d, own, func() {
+			if done {
 				return
 			}
-			over = true
+			done = true
 			delete(d.pending, to)
 			d.members.Reached(peer.host.Host)
 			d.carryOut(d.core.Answer(to, answer, sent, n.now))
-			d.look()
+			d.checkServing()
 		})
 	})
 }
 
 func (d *node) fetch(s Source) {
 	n, peer, own := d.net, d.net.byPeer[s.Peer], d.incarnation
-	have := d.have[s.Kind]
+	have := d.values[s.Kind]
 	have.Kind = s.Kind
-	if s.Version <= d.have[s.Kind].Version {
+	if s.Version <= d.values[s.Kind].Version {
 		n.faults = append(n.faults, fmt.Sprintf("%s fetches version %d of %s and has %d", d.host.Host, s.Version, s.Kind, have.Version))
 	}
 	key := fmt.Sprintf("%s/%d", s.Kind, s.Version)
-	if d.tried[key]++; d.tried[key] > 40 {
-		n.faults = append(n.faults, fmt.Sprintf("%s fetched %s %d times", d.host.Host, key, d.tried[key]))
+	if d.fetches[key]++; d.fetches[key] > 40 {
+		n.faults = append(n.faults, fmt.Sprintf("%s fetched %s %d times", d.host.Host, key, d.fetches[key]))
 	}
-	n.pass(d, peer, peer.incarnation, func() {
+	n.deliver(d, peer, peer.incarnation, func() {
 		packet := peer.archive.Packet(Fetch{Kind: s.Kind, Have: have.Version})
-		n.pass(peer, d, own, func() {
+		n.deliver(peer, d, own, func() {
 			if v, err := packet.Open(have); err == nil && packet.Version > 0 {
-				d.offer(v)
+				d.receive(v)
 			}
 			d.carryOut(d.core.Fetched(s.Kind, n.now))
-			d.look()
+			d.checkServing()
 		})
 	})
 }
 
-// startAll starts every node within a second and lets the fleet settle.
+// startAll starts every node within a second and waits until the fleet has settled.
 func (n *network) startAll() {
 	n.publishAll()
 	for _, h := range n.hosts {
@@ -343,7 +348,7 @@
 	n.advance(8 * time.Second)
 }
 
-// behind tells which live nodes don't hold the newest versions or take no callers; empty means that all do.
+// behind returns which running nodes don't have the newest versions or take no callers; empty means that there are none.
 func (n *network) behind() []string {
 	var out []string
 	for _, h := range n.hosts {
@@ -353,11 +358,11 @@
 		}
 		standing, _ := d.core.Standing()
 		for k := range lists.Kinds {
-			if d.have[k].Version != n.sound(lists.Kind(k)) {
-				out = append(out, fmt.Sprintf("%s has %s at %d of %d", h.Host, lists.Kind(k), d.have[k].Version, n.sound(lists.Kind(k))))
+			if d.values[k].Version != n.newestValid(lists.Kind(k)) {
+				out = append(out, fmt.Sprintf("%s has %s at %d of %d", h.Host, lists.Kind(k), d.values[k].Version, n.newestValid(lists.Kind(k))))
 			}
 		}
-		if !d.takes() {
+		if !d.takesCallers() {
 			out = append(out, fmt.Sprintf("%s takes no callers, %s", h.Host, standing))
 		}
 	}
--- a/internal/fleet/spread/readers.go
+++ b/internal/fleet/spread/readers.go
@@ -11,15 +11,15 @@
 
 // readersPerZone is how many daemons of an availability zone watch the platform.
 //
-// With one, its crash would leave the zone to the others for as long as the
-// crash goes unnoticed; each further one costs a watch for every list. Three
-// keep a zone reading through a crash during a restart.
+// With one, its crash would leave the availability zone without a reader until the
+// crash is noticed; each further one costs the platform a watch for every list. Three
+// keep one reader through a crash during another's restart.
 const readersPerZone = 3
 
-// Ranked returns the zone's hosts in the order in which they read the platform.
+// Ranked returns an availability zone's hosts that aren't leaving, in the order in which they become readers of the platform.
 //
-// The order is a rendezvous hash of the host names, so that every daemon finds
-// the same one without a word, and a host that comes or goes moves no other.
+// The order is a rendezvous hash of the host names, so that every daemon computes
+// the same one without messages, and a host that joins or leaves doesn't reorder the others.
 func Ranked(hosts []lists.Host, zone string) []lists.Host {
 	type scored struct {
 		host  lists.Host
@@ -41,17 +41,17 @@
 	return ranked
 }
 
-// reads reports whether the host is among the first readers that the caller doesn't skip.
-func reads(ranked []lists.Host, host string, skip func(host string) bool) bool {
-	before := 0
+// isReader reports whether fewer than readersPerZone hosts that aren't skipped rank before the host.
+func isReader(ranked []lists.Host, host string, skip func(host string) bool) bool {
+	earlier := 0
 	for _, h := range ranked {
 		if h.Host == host {
 			return true
 		}
 		if !skip(h.Host) {
-			before++
+			earlier++
 		}
-		if before == readersPerZone {
+		if earlier == readersPerZone {
 			return false
 		}
 	}
--- a/internal/fleet/spread/readers_test.go
+++ b/internal/fleet/spread/readers_test.go
@@ -12,13 +12,13 @@
 
 func TestReadersOfAZone(t *testing.T) {
 	n := newNetwork(rand.New(rand.NewPCG(1, 1)), 11, 309)
-	Convey("Each availability zone has three readers, and the next in line take over", t, func() {
+	Convey("Each availability zone has three readers, and the next in rank replaces one that is skipped", t, func() {
 		ranked := Ranked(n.hosts, "z4")
 		So(ranked, ShouldHaveLength, 309)
 		readers := func(skip func(string) bool) []string {
 			var names []string
 			for _, h := range ranked {
-				if reads(ranked, h.Host, skip) && !skip(h.Host) {
+				if isReader(ranked, h.Host, skip) && !skip(h.Host) {
 					names = append(names, h.Host)
 				}
 			}
@@ -26,23 +26,23 @@
 		}
 		all := readers(func(string) bool { return false })
 		So(all, ShouldResemble, []string{ranked[0].Host, ranked[1].Host, ranked[2].Host})
-		left := readers(func(host string) bool { return host == ranked[1].Host })
-		So(left, ShouldResemble, []string{ranked[0].Host, ranked[2].Host, ranked[3].Host})
+		remaining := readers(func(host string) bool { return host == ranked[1].Host })
+		So(remaining, ShouldResemble, []string{ranked[0].Host, ranked[2].Host, ranked[3].Host})
 	})
-	Convey("A host that leaves moves no other reader", t, func() {
-		before := Ranked(n.hosts, "z4")
+	Convey("A leaving host doesn't reorder the other readers", t, func() {
+		ranked := Ranked(n.hosts, "z4")
 		hosts := append([]lists.Host(nil), n.hosts...)
 		for i := range hosts {
-			hosts[i].Leaving = hosts[i].Host == before[0].Host
+			hosts[i].Leaving = hosts[i].Host == ranked[0].Host
 		}
-		So(Ranked(hosts, "z4")[:2], ShouldResemble, before[1:3])
+		So(Ranked(hosts, "z4")[:2], ShouldResemble, ranked[1:3])
 	})
 }
 
 func TestReadsOfAFleetInAnOutage(t *testing.T) {
-	// The platform is gone for an hour. Were each daemon to try it on its own as
-	// soon as it is silent, the end of the outage would be met by thousands of reads at once.
-	Convey("Daemons that hear nothing of the platform read it now and then, spread over time", t, func() {
+	// The platform is down. If each daemon read it as soon as it stops answering,
+	// thousands of reads would arrive together at the end of the outage.
+	Convey("Daemons without any report of the platform's answers read it occasionally, spread over time", t, func() {
 		n := newNetwork(rand.New(rand.NewPCG(13, 13)), 3, 40)
 		n.startAll()
 		n.down["z0"], n.down["z1"], n.down["z2"] = true, true, true
@@ -56,9 +56,9 @@
 }
 
 func TestReadsOfAFleetThatStarts(t *testing.T) {
-	// Power comes back to all three regions in the same second, and each of 3,400 daemons
-	// has nothing. Were each to read its four lists at once, the platform would refuse most
-	// of the 13,600 calls, and the readers' would be among these.
+	// Power returns to all three regions in the same second, and each of 3,400 daemons
+	// starts without lists. If each read its four lists at once, the platform would refuse most
+	// of the 13,600 calls, including those of the readers.
 	Convey("The platform gets less than 2,000 calls in any second, and all take callers within 10 s", t, func() {
 		n := newNetwork(rand.New(rand.NewPCG(15, 15)), 11, 309)
 		n.publishAll()
@@ -75,9 +75,9 @@
 		So(took, ShouldBeLessThan, 10*time.Second)
 		So(n.faults, ShouldBeEmpty)
 
-		// A switch loses packets, and its links' connections break with what was on them.
-		// Whoever misses a push and loses the answer to its own question is left with the old keys.
-		// This is one schedule; BenchmarkInForce looks at more, and not all of them keep to 3 s.
+		// A switch loses packets, and connections over its links break with the messages on them.
+		// A daemon that misses a push and loses the reply to its own digest keeps the old keys.
+		// This is one schedule; BenchmarkInForce covers more, and not all of them stay within 3 s.
 		Convey("and then a change is in force at every daemon within 3 s with a twentieth of all messages lost", func() {
 			n.loss = 0.05
 			for range 3 {
@@ -90,8 +90,8 @@
 	})
 }
 
-// BenchmarkInForce reports how long a change takes to reach every daemon of a
-// fleet of the target size, in virtual time with 1 to 5 ms a message, and what it costs.
+// BenchmarkInForce reports how long a change takes to come into force at every daemon, for fleets up to
+// the target size, in virtual time with 1 to 5 ms a message, and how many exchanges it takes.
 func BenchmarkInForce(b *testing.B) {
 	sizes := []struct {
 		name  string
@@ -111,7 +111,7 @@
 			n.advance(20 * time.Second)
 			n.loss = s.loss
 			n.exchanges = 0
-			began := n.now
+			start := n.now
 			var total, worst time.Duration
 			for b.Loop() {
 				n.publish(lists.KindKeys, "keys of many words that stay")
@@ -126,7 +126,7 @@
 			}
 			b.ReportMetric(float64(total.Milliseconds())/float64(b.N), "mean-ms")
 			b.ReportMetric(float64(worst.Milliseconds()), "worst-ms")
-			b.ReportMetric(float64(n.exchanges)/float64(len(n.hosts))/n.now.Sub(began).Seconds(), "exchanges/s/daemon")
+			b.ReportMetric(float64(n.exchanges)/float64(len(n.hosts))/n.now.Sub(start).Seconds(), "exchanges/s/daemon")
 		})
 	}
 }
--- a/internal/fleet/spread/reading.go
+++ b/internal/fleet/spread/reading.go
@@ -7,7 +7,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// Read tells what to read at the platform.
+// Read says what to read from the platform.
 type Read uint8
 
 const (
@@ -20,129 +20,133 @@
 )
 
 const (
-	// firstReadSpread spreads the first reads of daemons that start together and know of nobody. Each
-	// reads the hosts list alone: 3,400 that start in the same second make some 1,400 reads a second.
+	// firstReadSpread spreads the first reads of daemons that start together and know no peer. Each
+	// reads the hosts list alone: 3,400 that start in the same second make about 1,400 reads a second.
 	firstReadSpread = 2500 * time.Millisecond
-	// seedTime is how long a daemon with seeds leaves it to them.
-	seedTime = time.Second
+	// seedHeadStart is how long a daemon with seeds waits for lists from them before it reads the platform.
+	seedHeadStart = time.Second
 	// Backoff of reads while a daemon has no confirmed lists.
-	leastBackoff = 500 * time.Millisecond
-	mostBackoff  = 10 * time.Second
-	// peersTime is how long a daemon that knows its peers leaves the other lists to them and to the readers. It is
-	// longer than grace, so that the readers' word has had the time to spread.
-	peersTime = 3 * time.Second
-	// silenceSlack is added to two watches: the readers' word is at most one watch old plus the way here.
+	minBackoff = 500 * time.Millisecond
+	maxBackoff = 10 * time.Second
+	// peersHeadStart is how long a daemon that knows its peers waits for the other lists from them before it reads all
+	// itself. It is longer than confirmGrace, so that what the readers read has had time to spread.
+	peersHeadStart = 3 * time.Second
+	// silenceSlack is added to two watches to get the normal maximum of the platform's age: a
+	// reader's last answer is at most one watch old, and its report takes time to arrive.
 	silenceSlack = 5 * time.Second
-	// readSpacing is the mean time between the reads of any two daemons of a fleet that hears
-	// nothing of the platform: at 20 ms and four lists that is 200 calls a second.
+	// readSpacing is the mean time between two reads in a fleet that no longer gets any
+	// report of the platform's answers: at 20 ms and four lists that is 200 calls a second.
 	readSpacing = 20 * time.Millisecond
 )
 
-// readPlan tells when a daemon reads the platform itself, beside the watches of the readers.
+// readSchedule decides when a daemon reads the platform itself, apart from the watches of the readers.
 //
-// All readers of the fleet may be cut off from the platform while this daemon
-// isn't. Were every daemon to read at once when it notices, or at the end
-// of an outage, 3,400 of them would use up the platform's rate for seconds. So
+// All readers of the fleet may be partitioned from the platform while this daemon
+// isn't. If every daemon read as soon as it notices, or at the end of an
+// outage, 3,400 of them would use up the platform's rate for seconds. So
 // each waits a random time in proportion to the fleet's size.
 //
-// A daemon that starts doesn't know the fleet's size, and without seeds nobody to
-// ask. It reads the hosts list alone, one call in place of four. That names
-// its peers: the readers go on to all lists at once, and the others have
-// them from peers long before their own turn comes.
-type readPlan struct {
-	known   bool
-	at      time.Time
-	backoff time.Duration
-	next    time.Time
-	// all is when a daemon that knows the hosts reads every list; zero means not yet planned.
-	all time.Time
+// A daemon that starts doesn't know the fleet's size, and without seeds it has no
+// peer to ask. It reads the hosts list alone, one call instead of four, which gives
+// it its peers. Readers then read all lists at once, and the other daemons get
+// them from peers long before their own full read is due.
+type readSchedule struct {
+	// answered means that the platform is known to have answered a daemon, and answeredAt is when it last did.
+	answered   bool
+	answeredAt time.Time
+	backoff    time.Duration
+	// nextRead is when the next read is due: of every list while the daemon is serving, else of the hosts list.
+	nextRead time.Time
+	// nextFullRead is when a daemon that isn't serving and knows the hosts reads every list; zero means not yet scheduled.
+	nextFullRead time.Time
 }
 
-func newReadPlan(rng *rand.Rand, seeded bool, now time.Time) readPlan {
+func newReadSchedule(rng *rand.Rand, seeded bool, now time.Time) readSchedule {
 	wait := time.Duration(rng.Int64N(int64(firstReadSpread)))
 	if seeded {
-		wait += seedTime
+		wait += seedHeadStart
 	}
-	return readPlan{backoff: leastBackoff, next: now.Add(wait)}
+	return readSchedule{backoff: minBackoff, nextRead: now.Add(wait)}
 }
 
-// hear notes that the platform answered someone at the given time.
-func (p *readPlan) hear(at time.Time) {
-	if !p.known || at.After(p.at) {
-		p.known, p.at = true, at
+// recordAnswer records that the platform answered this or another daemon at the given time.
+func (p *readSchedule) recordAnswer(at time.Time) {
+	if !p.answered || at.After(p.answeredAt) {
+		p.answered, p.answeredAt = true, at
 	}
 }
 
-func (p *readPlan) age(now time.Time) time.Duration {
-	if !p.known {
+// age returns the time since the platform's last known answer, or a negative time if none is known.
+func (p *readSchedule) age(now time.Time) time.Duration {
+	if !p.answered {
 		return -1
 	}
-	return max(now.Sub(p.at), 0)
+	return max(now.Sub(p.answeredAt), 0)
 }
 
-// due returns what to read now, and plans the next look.
-func (p *readPlan) due(c *Core, now time.Time, skip func(host string) bool) Read {
+// due returns what to read now and schedules the next read.
+func (p *readSchedule) due(c *Core, now time.Time, skip func(host string) bool) Read {
 	if c.standing == Serving {
 		return p.dueServing(c, now)
 	}
 	if c.versions[lists.KindHosts] > 0 {
-		return p.dueKnowing(c, now, skip)
+		return p.dueWithHosts(c, now, skip)
 	}
-	if now.Before(p.next) {
+	if now.Before(p.nextRead) {
 		return ReadNothing
 	}
-	p.next = now.Add(c.around(p.backoff))
-	p.backoff = min(2*p.backoff, mostBackoff)
+	p.nextRead = now.Add(c.wideJitter(p.backoff))
+	p.backoff = min(2*p.backoff, maxBackoff)
 	return ReadHosts
 }
 
-// dueServing reads all lists when the platform was silent for longer than the readers' watches explain.
-func (p *readPlan) dueServing(c *Core, now time.Time) Read {
-	p.backoff, p.all = leastBackoff, time.Time{}
+// dueServing returns ReadAll when the platform's last known answer is older than the readers' watches explain.
+func (p *readSchedule) dueServing(c *Core, now time.Time) Read {
+	p.backoff, p.nextFullRead = minBackoff, time.Time{}
 	silence := 2*c.config.Watch + silenceSlack
-	if p.known && now.Sub(p.at) < silence {
-		p.next = time.Time{}
+	if p.answered && now.Sub(p.answeredAt) < silence {
+		p.nextRead = time.Time{}
 		return ReadNothing
 	}
-	if p.next.IsZero() {
-		p.next = now.Add(c.spread())
+	if p.nextRead.IsZero() {
+		p.nextRead = now.Add(c.fleetDelay())
 	}
-	if now.Before(p.next) {
+	if now.Before(p.nextRead) {
 		return ReadNothing
 	}
-	p.next = now.Add(silenceSlack + c.spread())
+	p.nextRead = now.Add(silenceSlack + c.fleetDelay())
 	return ReadAll
 }
 
-// dueKnowing returns what a daemon that isn't serving and knows its peers reads now. The hosts
-// list may be all that helps it: its peers may have moved to other addresses.
-func (p *readPlan) dueKnowing(c *Core, now time.Time, skip func(host string) bool) Read {
-	if p.all.IsZero() {
-		p.all, p.next = now, now.Add(c.around(mostBackoff))
-		if len(c.others) > 0 && !c.Reads(skip) {
-			p.all = now.Add(peersTime + c.spread())
+// dueWithHosts returns what a daemon that isn't serving and has a host list reads now. It also reads
+// the hosts list alone from time to time, since its peers may have moved to other addresses.
+func (p *readSchedule) dueWithHosts(c *Core, now time.Time, skip func(host string) bool) Read {
+	if p.nextFullRead.IsZero() {
+		p.nextFullRead, p.nextRead = now, now.Add(c.wideJitter(maxBackoff))
+		if len(c.activePeers) > 0 && !c.Reads(skip) {
+			p.nextFullRead = now.Add(peersHeadStart + c.fleetDelay())
 		}
 	}
-	if !now.Before(p.all) {
-		p.all = now.Add(c.around(p.backoff) + c.spread())
-		p.backoff = min(2*p.backoff, mostBackoff)
+	if !now.Before(p.nextFullRead) {
+		p.nextFullRead = now.Add(c.wideJitter(p.backoff) + c.fleetDelay())
+		p.backoff = min(2*p.backoff, maxBackoff)
 		return ReadAll
 	}
-	if now.Before(p.next) {
+	if now.Before(p.nextRead) {
 		return ReadNothing
 	}
-	p.next = now.Add(c.around(mostBackoff))
+	p.nextRead = now.Add(c.wideJitter(maxBackoff))
 	return ReadHosts
 }
 
-// around returns a random time whose mean is d, from half of it on.
-func (c *Core) around(d time.Duration) time.Duration { return d/2 + c.rand(d) }
+// wideJitter returns a random time from half of d to one and a half, whose mean is d.
+func (c *Core) wideJitter(d time.Duration) time.Duration { return d/2 + c.randomDuration(d) }
 
-// spread returns a random time whose mean is readSpacing for each daemon of the fleet.
-func (c *Core) spread() time.Duration {
-	return c.rand(2 * readSpacing * time.Duration(len(c.others)+1))
+// fleetDelay returns a random time whose mean is readSpacing times the number of daemons.
+func (c *Core) fleetDelay() time.Duration {
+	return c.randomDuration(2 * readSpacing * time.Duration(len(c.activePeers)+1))
 }
 
-func (c *Core) rand(most time.Duration) time.Duration {
-	return time.Duration(c.rng.Int64N(int64(most)))
+func (c *Core) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(c.rng.Int64N(int64(limit)))
 }
--- a/internal/fleet/spread/rejects.go
+++ b/internal/fleet/spread/rejects.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// rejectsKept bounds the memory; versions beyond it cost one more fetch each.
-const rejectsKept = 16
+// maxRejected bounds the memory; a version that is forgotten beyond it costs one more fetch.
+const maxRejected = 16
 
-// rejects are the versions of one list that were rejected and are above the one in force.
-type rejects struct {
+// rejectedVersions are the rejected versions of one list above the one in force.
+type rejectedVersions struct {
 	versions []uint64
 }
 
-func (r *rejects) has(version uint64) bool { return slices.Contains(r.versions, version) }
+func (r *rejectedVersions) has(version uint64) bool { return slices.Contains(r.versions, version) }
 
-func (r *rejects) add(version uint64) {
+func (r *rejectedVersions) add(version uint64) {
 	if r.has(version) {
 		return
 	}
 	r.versions = append(r.versions, version)
-	r.versions = r.versions[max(0, len(r.versions)-rejectsKept):]
+	r.versions = r.versions[max(0, len(r.versions)-maxRejected):]
 }
 
-func (r *rejects) passed(version uint64) {
+func (r *rejectedVersions) dropUpTo(version uint64) {
 	r.versions = slices.DeleteFunc(r.versions, func(v uint64) bool { return v <= version })
 }
--- a/internal/fleet/spread/standing.go
+++ b/internal/fleet/spread/standing.go
@@ -4,111 +4,114 @@
 
 //go:generate stringer -type=Standing -linecomment
 
-// Standing tells whether a daemon has reason to believe that its lists are current.
+// Standing says whether a daemon has reason to believe that its lists are current.
 type Standing uint8
 
 const (
-	// Starting means that the daemon has no memory and is still asking.
+	// Starting means that the daemon has started without lists and they are not confirmed yet.
 	Starting Standing = iota // starting
-	// Serving means that what the daemon holds was confirmed and it takes callers.
+	// Serving means that the daemon's lists were confirmed and it takes callers.
 	Serving // serving
-	// Waking means that the process was paused and has not asked anyone since.
+	// Waking means that the process was paused and its lists are not confirmed since.
 	Waking // waking
 	// Isolated means that neither a peer nor the platform has answered for a long time.
 	Isolated // isolated
 )
 
 const (
-	// wakeGap is the pause of the process after which what it holds counts as old. Seconds
-	// are the time in which a withdrawn key must stop.
-	wakeGap = 2 * time.Second
-	// grace is how long a daemon asks before fewer answers than it would like will do.
-	grace = 2 * time.Second
-	// answersWanted is the number of peers whose agreement is enough without grace. One peer alone may itself
-	// have been cut off; three from different availability zones seldom are at once.
-	answersWanted = 3
-	// readyWanted is the same for peers that take callers, whose versions were confirmed before.
-	readyWanted = 2
+	// pauseThreshold is the pause of the process after which its lists count as out of date. It is in
+	// seconds because a withdrawn key must stop working within seconds.
+	pauseThreshold = 2 * time.Second
+	// confirmGrace is how long a daemon asks before it accepts fewer replies than minReplies or minReadyReplies.
+	confirmGrace = 2 * time.Second
+	// minReplies is the number of peers whose replies are enough before confirmGrace has passed. One peer alone may
+	// itself have been partitioned; three from different availability zones seldom are at the same time.
+	minReplies = 3
+	// minReadyReplies is the number of peers that take callers whose replies are enough: their versions were confirmed already.
+	minReadyReplies = 2
 )
 
-// Takes reports whether a daemon that last looked at its standing at the given time takes callers now.
+// Takes reports whether a daemon whose last Tick was at the given time takes callers now.
 //
-// Traffic threads of a process that was paused run again before the control
-// thread has noticed the pause; by the age of the last look they see it themselves.
-func (s Standing) Takes(looked, now time.Time) bool {
-	return s == Serving && now.Sub(looked) < wakeGap
+// After a pause of the process, request goroutines may run before the control
+// goroutine has noticed the pause; they detect it by the age of the last Tick.
+func (s Standing) Takes(lastTick, now time.Time) bool {
+	return s == Serving && now.Sub(lastTick) < pauseThreshold
 }
 
-// answers is what came back since the daemon began to ask.
-type answers struct {
-	since    time.Time
+// replies are the answers that a daemon received since it began to confirm its lists.
+type replies struct {
+	since time.Time
+	// platform means that the platform answered with all lists.
 	platform bool
-	peers    map[string]bool
+	// peers has the peers that replied, with true for those that take callers.
+	peers map[string]bool
 }
 
-func (a *answers) ready() int {
-	n := 0
-	for _, ready := range a.peers {
+func (r *replies) readyPeers() int {
+	count := 0
+	for _, ready := range r.peers {
 		if ready {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// settle moves the core to the standing that the answers speak for.
-func (c *Core) settle(now time.Time) {
+// updateStanding changes the standing according to the replies received and the time since the last one.
+func (c *Core) updateStanding(now time.Time) {
 	if c.standing == Serving {
-		if c.cutOff(now) {
-			c.ask(Isolated, now)
+		if c.isolated(now) {
+			c.startConfirming(Isolated, now)
 		}
 		return
 	}
-	if c.holdsAll() && c.confirmed(now) {
+	if c.holdsNewest() && c.confirmed(now) {
 		c.standing = Serving
-		c.contact = now
+		c.lastContact = now
 	}
 }
 
-// cutOff reports whether neither a peer nor the platform has answered for the isolation time.
+// isolated reports whether neither a peer nor the platform has answered for the isolation time.
 //
-// A lone daemon has no peers to be cut off from. It goes on through an outage
-// of the platform, since nobody else could know anything newer.
-func (c *Core) cutOff(now time.Time) bool {
-	return c.config.IsolationTime > 0 && len(c.others) > 0 && now.Sub(c.contact) > c.config.IsolationTime
+// A daemon without peers is never isolated: it keeps serving through an outage
+// of the platform, since no other daemon could have a newer version.
+func (c *Core) isolated(now time.Time) bool {
+	return c.config.IsolationTime > 0 && len(c.activePeers) > 0 && now.Sub(c.lastContact) > c.config.IsolationTime
 }
 
-// holdsAll reports whether a value of every list is in force and no newer one was heard of.
-func (c *Core) holdsAll() bool {
+// holdsNewest reports whether a value of every list is in force and no newer one was reported.
+func (c *Core) holdsNewest() bool {
 	for k, version := range c.versions {
-		if version == 0 || c.heard[k] > version {
+		if version == 0 || c.reported[k] > version {
 			return false
 		}
 	}
 	return true
 }
 
+// confirmed reports whether the replies are enough to serve with the lists in force.
 func (c *Core) confirmed(now time.Time) bool {
-	others := len(c.others)
-	waited := now.Sub(c.answers.since) >= grace
-	heard, ready := len(c.answers.peers), c.answers.ready()
+	peers := len(c.activePeers)
+	waited := now.Sub(c.replies.since) >= confirmGrace
+	replied, ready := len(c.replies.peers), c.replies.readyPeers()
 	switch {
-	case others == 0:
-		return c.answers.platform || (waited && c.standing != Starting)
-	case ready >= min(readyWanted, others), ready > 0 && (waited || c.answers.platform):
+	case peers == 0:
+		return c.replies.platform || (waited && c.standing != Starting)
+	case ready >= min(minReadyReplies, peers), ready > 0 && (waited || c.replies.platform):
 		return true
-	case c.standing != Starting || c.answers.platform:
-		// Peers that take no callers either will do for a daemon that has a memory, and
-		// beside the platform: else a fleet that starts or wakes as a whole would wait for itself.
-		return heard >= min(answersWanted, others) || (heard > 0 && waited)
+	case c.standing != Starting || c.replies.platform:
+		// Peers that take no callers are enough for a daemon that had confirmed lists before, or together with
+		// the platform: otherwise the daemons of a fleet that starts or resumes as a whole would wait for each other.
+		return replied >= min(minReplies, peers) || (replied > 0 && waited)
 	default:
 		return false
 	}
 }
 
-// ask begins to collect answers afresh; what came in before doesn't count.
-func (c *Core) ask(s Standing, now time.Time) {
+// startConfirming changes the standing and discards earlier replies, so that only new ones confirm the lists.
+func (c *Core) startConfirming(s Standing, now time.Time) {
 	c.standing = s
-	c.answers = answers{since: now, peers: map[string]bool{}}
-	c.next = now
+	c.replies = replies{since: now, peers: map[string]bool{}}
+	c.nextExchange = now
 }
