--- a/internal/fleet/spread/core.go
+++ b/internal/fleet/spread/core.go
@@ -61,7 +61,7 @@
 	// fetchTimeout is the time until an unanswered fetch is retried. With a longer one, a peer that crashes
 	// before it answers would use up the time within which a change has to be in force.
 	// After fetchesBeforeBackoff timed-out fetches it doubles with each further one, at most maxFetchDoublings times.
-	// A change is about a hundred bytes, so its packet arrives at once or is lost. A daemon without the list waits for
+	// A change is a few hundred bytes, so its packet arrives at once or is lost. A daemon without the list waits for
 	// a megabyte, and each retry over a slow link would slow down the transfer, so its timeout doubles after
 	// firstFetchesBeforeBackoff.
 	fetchTimeout              = 300 * time.Millisecond
--- a/internal/fleet/spread/digest.go
+++ b/internal/fleet/spread/digest.go
@@ -31,6 +31,6 @@
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
 	Kind     lists.Kind
-	// Have is the version in force at the asking daemon, from which the answer may be a delta.
+	// Have is the version in force at the asking daemon, so that the packet may carry splices onto it.
 	Have uint64
 }
--- a/internal/fleet/spread/reading.go
+++ b/internal/fleet/spread/reading.go
@@ -31,7 +31,7 @@
 	// peersHeadStart is how long a daemon that knows its peers waits for the other lists from them before it reads all
 	// itself. It is longer than confirmGrace, so that what the readers read has had time to spread.
 	peersHeadStart = 3 * time.Second
-	// silenceSlack is added to two watches to get the normal maximum of the platform's age: a
+	// silenceSlack is added to two watches to get the normal maximum age of the platform's last known answer: a
 	// reader's last answer is at most one watch old, and its report takes time to arrive.
 	silenceSlack = 5 * time.Second
 	// readSpacing is the mean time between two reads in a fleet that no longer gets any
