--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -60,7 +60,7 @@
 func (r *deduplicator) updateAddresses(view *lists.View, now time.Time) {
 	addresses := map[string]netip.AddrPort{}
 	if previous := r.addresses.Load(); previous != nil {
-		for _, name := range r.history.Everyone(now) {
+		for _, name := range r.history.AllHosts(now) {
 			if address, ok := (*previous)[name]; ok {
 				addresses[name] = address
 			}
@@ -218,26 +218,26 @@
 func (r *deduplicator) askOthers(ctx context.Context, key ledger.Key, ticket ledger.Ticket) (call.Answer, bool) {
 	now := time.Now()
 	evidence := ledger.Evidence{
-		Self: r.daemon.settings.Host, Own: r.ledger.Own(now), Moves: ticket.Moves, Window: r.window,
-		Need: key.Age(now, r.window), Required: r.history.Required(key, now),
+		Self: r.daemon.settings.Host, Own: r.ledger.Coverage(now), Transfers: ticket.Transfers, Window: r.window,
+		MaxKeyAge: key.MaxAge(now, r.window), PossibleHolders: r.history.PossibleHolders(key, now),
 	}
-	if evidence.Need > r.window {
+	if evidence.MaxKeyAge > r.window {
 		return call.Lose(call.Repeated), true
 	}
-	if r.history.Confirmed(now) && !evidence.Asking() {
+	if r.history.Confirmed(now) && !evidence.NeedsRecall() {
 		return call.Answer{}, false
 	}
 	evidence.Replies = r.recall(ctx, recallRequest{Key: key, Asker: evidence.Self}, now)
 	if reply, ok := evidence.Known(); ok {
-		if reply.State == ledger.Finished && reply.Kept {
+		if reply.State == ledger.Finished && reply.HasAnswer {
 			return reply.Answer, true
 		}
 		return call.Lose(call.Repeated), true
 	}
 	switch confirmed := r.history.Confirmed(time.Now()); {
-	case confirmed && evidence.New():
+	case confirmed && evidence.ProvesNew():
 		return call.Answer{}, false
-	case evidence.New() || evidence.Pending():
+	case evidence.ProvesNew() || evidence.OnlyRepliesMissing():
 		return r.undecided(time.Now()), true
 	default:
 		return call.Lose(call.Repeated), true
@@ -273,7 +273,7 @@
 	replies := map[string]ledger.RecallReply{}
 	var mu sync.Mutex
 	var calls sync.WaitGroup
-	for _, name := range r.history.Everyone(now) {
+	for _, name := range r.history.AllHosts(now) {
 		to, ok := addresses[name]
 		if !ok || name == query.Asker || members.Suspect(name) {
 			continue
@@ -309,7 +309,7 @@
 	reply := ledger.RecallReply{}
 	if query.Key != (ledger.Key{}) {
 		reply = r.ledger.Recall(query.Key, query.Asker, now)
-		reply.Required = r.history.Required(query.Key, now)
+		reply.PossibleHolders = r.history.PossibleHolders(query.Key, now)
 	}
 	reply.Lists = r.history.Report()
 	return reply
@@ -354,7 +354,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	now := time.Now()
-	transfer := keyTransfer{From: r.daemon.settings.Host, Records: r.ledger.Records(now), Age: r.ledger.Own(now).Age}
+	transfer := keyTransfer{From: r.daemon.settings.Host, Records: r.ledger.Records(now), Age: r.ledger.Coverage(now).MemoryAge}
 	view := r.daemon.view.Load()
 	var calls sync.WaitGroup
 	for _, host := range view.HostsOf(r.daemon.settings.Service) {
