--- a/internal/wire/peer/bound.go
+++ b/internal/wire/peer/bound.go
@@ -6,102 +6,102 @@
 )
 
 const (
-	defaultMaxLinks = 256
-	defaultIdleTime = time.Minute
-	// sweepsPerIdle is how often idle links are looked for within one idle time.
-	sweepsPerIdle = 4
+	defaultMaxLinks    = 256
+	defaultIdleTimeout = time.Minute
+	// sweepsPerIdleTimeout is how often links are checked within one idle timeout.
+	sweepsPerIdleTimeout = 4
 )
 
-// WithMaxLinks bounds the number of connections that this node opens and keeps.
+// WithMaxLinks bounds the number of connections that this node dials and keeps open.
 func WithMaxLinks(count int) Option { return func(n *Node) { n.maxLinks = count } }
 
-// WithIdleTime sets after how long without a message an opened connection is closed.
-func WithIdleTime(d time.Duration) Option { return func(n *Node) { n.idleTime = d } }
+// WithIdleTime sets the time without a message after which a dialed connection is closed.
+func WithIdleTime(d time.Duration) Option { return func(n *Node) { n.idleTimeout = d } }
 
-// stamp is the time of a link's last use.
-type stamp struct{ at atomic.Int64 }
+// timestamp is a time in nanoseconds that several goroutines may read and set; 0 means unset.
+type timestamp struct{ unixNano atomic.Int64 }
 
-func (s *stamp) touch() { s.at.Store(time.Now().UnixNano()) }
+func (s *timestamp) setNow() { s.unixNano.Store(time.Now().UnixNano()) }
 
-// touchFirst keeps an earlier time.
-func (s *stamp) touchFirst() {
-	if s.at.Load() == 0 {
-		s.touch()
+// setNowIfZero sets the current time unless a time is set already.
+func (s *timestamp) setNowIfZero() {
+	if s.unixNano.Load() == 0 {
+		s.setNow()
 	}
 }
 
-func (s *stamp) clear() {
-	if s.at.Load() != 0 {
-		s.at.Store(0)
+func (s *timestamp) clear() {
+	if s.unixNano.Load() != 0 {
+		s.unixNano.Store(0)
 	}
 }
 
-func (s *stamp) idle(now time.Time) time.Duration {
-	return time.Duration(now.UnixNano() - s.at.Load())
+func (s *timestamp) elapsed(now time.Time) time.Duration {
+	return time.Duration(now.UnixNano() - s.unixNano.Load())
 }
 
-// sweep closes idle links until the node stops.
+// closeIdleLinks periodically closes idle links until the node stops.
 //
-// A daemon speaks with a few neighbours all the time and with any other host
-// now and then, as callers' requests are placed. Were links kept, each of 3,400 daemons
-// would end up with 3,400 of them, and their buffers would take more than all of its control memory.
-func (n *Node) sweep() {
-	ticker := time.NewTicker(n.idleTime / sweepsPerIdle)
+// A daemon talks to a few hosts all the time and to any other host occasionally,
+// as callers' requests are placed. If idle links were kept, each of 3,400 daemons would end up
+// with 3,400 of them, whose buffers take more memory than its control plane is allowed.
+func (n *Node) closeIdleLinks() {
+	ticker := time.NewTicker(n.idleTimeout / sweepsPerIdleTimeout)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-n.stopped:
 			return
 		case now := <-ticker.C:
-			for _, l := range n.overIdle(now) {
-				n.retire(l)
+			for _, l := range n.idleLinks(now) {
+				n.closeIfIdle(l)
 			}
 		}
 	}
 }
 
-func (n *Node) overIdle(now time.Time) []*link {
+func (n *Node) idleLinks(now time.Time) []*link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var idle []*link
 	for _, l := range n.links {
-		if l.used.idle(now) >= n.idleTime {
+		if l.lastUsed.elapsed(now) >= n.idleTimeout {
 			idle = append(idle, l)
 		}
 	}
 	return idle
 }
 
-// makeRoom closes the least recently used link if the node has as many as it may keep.
+// enforceMaxLinks closes the least recently used idle link if the node has maxLinks links.
 //
-// A link with calls in flight is never closed for this. Where all of them are
-// busy the bound is passed for a while, since a refused call would cost its caller more.
-func (n *Node) makeRoom() {
-	if l := n.leastUsed(); l != nil {
-		n.retire(l)
+// A link with calls in flight is never closed for this. If all links are busy, the
+// bound is exceeded for a while, since a refused call would cost its caller more.
+func (n *Node) enforceMaxLinks() {
+	if l := n.leastRecentlyUsed(); l != nil {
+		n.closeIfIdle(l)
 	}
 }
 
-func (n *Node) leastUsed() *link {
+func (n *Node) leastRecentlyUsed() *link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.links) < n.maxLinks {
 		return nil
 	}
-	var least *link
+	var oldest *link
 	for _, l := range n.links {
-		if l.isIdle() && (least == nil || l.used.at.Load() < least.used.at.Load()) {
-			least = l
+		if l.isIdle() && (oldest == nil || l.lastUsed.unixNano.Load() < oldest.lastUsed.unixNano.Load()) {
+			oldest = l
 		}
 	}
-	return least
+	return oldest
 }
 
-// retire closes a link on which no call is in flight. Only the side that
-// opened a link calls on it, so no request of the other side is cut.
-func (n *Node) retire(l *link) {
+// closeIfIdle closes a link unless a call is in flight on it. Only the side that
+// dialed a link sends calls on it, so no request of the other side is interrupted.
+func (n *Node) closeIfIdle(l *link) {
 	l.mu.Lock()
-	busy := len(l.waiting) > 0
+	busy := len(l.pendingCalls) > 0
 	if !busy {
 		l.broken, l.retired = true, true
 	}
@@ -110,12 +110,12 @@
 		return
 	}
 	n.mu.Lock()
-	n.unlink(l)
+	n.removeLink(l)
 	n.mu.Unlock()
 	_ = l.conn.Close()
 }
 
-// wasRetired reports whether this node took the link out of use of its own accord.
+// wasRetired reports whether this node took the link out of use, rather than it having failed.
 func (l *link) wasRetired() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,5 +125,5 @@
 func (l *link) isIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.waiting) == 0
+	return len(l.pendingCalls) == 0
 }
--- a/internal/wire/peer/bound_test.go
+++ b/internal/wire/peer/bound_test.go
@@ -11,27 +11,27 @@
 	"github.com/foxtailhook/foxtailhook/internal/proof/loopback"
 )
 
-func echo(_ context.Context, _ netip.AddrPort, q question) question { return q }
+func echo(_ context.Context, _ netip.AddrPort, m message) message { return m }
 
 func startNode(t *testing.T, opts ...Option) (*Node, netip.AddrPort) {
-	at := loopback.Address()
-	n := New(at, append([]Option{patient}, opts...)...)
+	address := loopback.Address()
+	n := New(address, append([]Option{withLongTimeouts}, opts...)...)
 	Handle(n, KindCall, echo)
-	Handle(n, KindDigest, func(ctx context.Context, _ netip.AddrPort, q question) question {
+	Handle(n, KindDigest, func(ctx context.Context, _ netip.AddrPort, m message) message {
 		<-ctx.Done()
-		return q
+		return m
 	})
 	if err := n.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Stop)
-	return n, at
+	return n, address
 }
 
-// eventually waits for a condition with a generous bound.
-func eventually(holds func() bool) bool {
-	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
-		if holds() {
+// eventually waits for a condition up to testTimeout and reports whether it became true.
+func eventually(condition func() bool) bool {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if condition() {
 			return true
 		}
 	}
@@ -39,20 +39,20 @@
 }
 
 func TestLinksAreBounded(t *testing.T) {
-	// A daemon's callers ask for every service in turn, so over a day it hands
-	// requests to every host of the fleet. Without a bound it would keep a connection to each.
-	Convey("A node keeps no more links than its bound, and calls go through all the same", t, func() {
+	// Over a day a daemon forwards requests to every host of the fleet.
+	// Without a bound it would keep a connection to each.
+	Convey("A node keeps at most its maximum of links, and all calls succeed", t, func() {
 		client, _ := startNode(t, WithMaxLinks(3))
 		var peers []netip.AddrPort
 		for range 8 {
-			_, at := startNode(t)
-			peers = append(peers, at)
+			_, peerAddress := startNode(t)
+			peers = append(peers, peerAddress)
 		}
 		for range 2 {
 			for _, to := range peers {
-				back, err := Call[question, question](t.Context(), client, to, KindCall, question{"x"})
+				reply, err := Call[message, message](t.Context(), client, to, KindCall, message{"x"})
 				So(err, ShouldBeNil)
-				So(back.Text, ShouldEqual, "x")
+				So(reply.Text, ShouldEqual, "x")
 			}
 		}
 		So(eventually(func() bool { return client.Connections() <= 3 }), ShouldBeTrue)
@@ -64,12 +64,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() {
-			_, err := Call[question, question](ctx, client, slow, KindDigest, question{"x"})
+			_, err := Call[message, message](ctx, client, slow, KindDigest, message{"x"})
 			ended <- err
 		}()
 		So(eventually(func() bool { return client.Connections() == 1 }), ShouldBeTrue)
 		for range 3 {
-			_, err := Call[question, question](t.Context(), client, quick, KindCall, question{"x"})
+			_, err := Call[message, message](t.Context(), client, quick, KindCall, message{"x"})
 			So(err, ShouldBeNil)
 		}
 		cancel()
@@ -78,26 +78,26 @@
 }
 
 func TestIdleLinksAreClosed(t *testing.T) {
-	Convey("A link that nobody uses is closed, and the next call opens another", t, func() {
+	Convey("An idle link is closed, and the next call opens another", t, func() {
 		client, _ := startNode(t, WithIdleTime(40*time.Millisecond))
 		_, to := startNode(t)
 		for range 3 {
-			_, err := Call[question, question](t.Context(), client, to, KindCall, question{"x"})
+			_, err := Call[message, message](t.Context(), client, to, KindCall, message{"x"})
 			So(err, ShouldBeNil)
 			So(eventually(func() bool { return client.Connections() == 0 }), ShouldBeTrue)
 		}
 	})
 }
 
-func TestCallsWhileLinksAreClosed(t *testing.T) {
-	// A call begins at the very moment at which its link is closed as idle. Were
-	// it lost, a dispatch would be answered with an unknown outcome for nothing.
-	// On a busy machine a new link can be idle for that long before its first call begins, again and again.
-	Convey("No call is lost to the end of an idle link", t, func() {
-		client, _ := startNode(t, WithIdleTime(sweepsPerIdle))
+func TestCallsWhileIdleLinksAreClosed(t *testing.T) {
+	// A call begins at the moment at which its link is closed as idle. If it were lost, its outcome would be
+	// unknown though nothing was sent. On a busy machine, even a new link can be idle for that long
+	// before its first call begins, several times in a row.
+	Convey("No call fails because its link is closed as idle", t, func() {
+		client, _ := startNode(t, WithIdleTime(sweepsPerIdleTimeout))
 		_, to := startNode(t)
 		for range 300 {
-			_, err := Call[question, question](t.Context(), client, to, KindCall, question{"x"})
+			_, err := Call[message, message](t.Context(), client, to, KindCall, message{"x"})
 			So(err, ShouldBeNil)
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/wire/peer/dial.go
+++ b/internal/wire/peer/dial.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// dialing is a connection being opened, and its end for those who wait for it.
+// dialing is a connection being opened; link and err are set before done is closed.
 type dialing struct {
 	done chan struct{}
 	link *link
@@ -20,24 +20,24 @@
 // dial returns the open link for messages of a kind to a peer, opening one if
 // there is none; the error is ErrNotSent, also when the context ends first.
 //
-// Hundreds of requests may want the same link when it has just been lost. Would each
-// open one, their handshakes would keep the other side so busy that some take
-// longer than they may, and requests are refused though it can be reached. And a
-// host that is cut off lets a connection hang for longer than a request may wait
-// for it: one that can ask elsewhere goes on, while the link is still being opened.
+// Hundreds of requests may need the same link when it has just been lost. If each
+// dialed, the handshakes would keep the other side so busy that some would
+// time out, and requests would be refused though the peer can be reached; so
+// concurrent requests share one dial. Dialing an unreachable host may take longer than
+// a request can wait: each request waits only for its own context, while the dial goes on.
 func (n *Node) dial(ctx context.Context, to netip.AddrPort, k Kind) (*link, error) {
-	at := laneOf(to, k)
+	key := linkKeyOf(to, k)
 	n.mu.Lock()
-	if l, ok := n.links[at]; ok {
+	if l, ok := n.links[key]; ok {
 		n.mu.Unlock()
-		l.used.touch()
+		l.lastUsed.setNow()
 		return l, nil
 	}
-	d, ok := n.dials[at]
+	d, ok := n.dials[key]
 	if !ok {
 		d = &dialing{done: make(chan struct{})}
-		n.dials[at] = d
-		go n.finish(at, d)
+		n.dials[key] = d
+		go n.completeDial(key, d)
 	}
 	n.mu.Unlock()
 	select {
@@ -48,65 +48,65 @@
 	}
 }
 
-// finish opens the link and tells those who wait for it.
-func (n *Node) finish(at lane, d *dialing) {
-	d.link, d.err = n.open(at)
+// completeDial opens the link and wakes the requests that wait for it.
+func (n *Node) completeDial(key linkKey, d *dialing) {
+	d.link, d.err = n.open(key)
 	n.mu.Lock()
-	delete(n.dials, at)
+	delete(n.dials, key)
 	n.mu.Unlock()
 	close(d.done)
 }
 
-// open opens a link, in place of another if there are too many.
-func (n *Node) open(at lane) (*link, error) {
-	n.makeRoom()
-	c, err := n.connect(at.to)
+// open opens a link, after closing an idle one if there are too many.
+func (n *Node) open(key linkKey) (*link, error) {
+	n.enforceMaxLinks()
+	c, err := n.connect(key.to)
 	if err != nil {
-		return nil, errors.Wrapf(ErrNotSent, "dial %s: %v", at.to, err)
+		return nil, errors.Wrapf(ErrNotSent, "dial %s: %v", key.to, err)
 	}
-	return n.adopt(at, c)
+	return n.addDialed(key, c)
 }
 
-// connect dials from the node's own address, so that a host with several speaks with the one its peers know.
+// connect dials from the node's own address, so that a host with several addresses uses the one that its peers know.
 func (n *Node) connect(to netip.AddrPort) (*nbio.Conn, error) {
-	dialer := net.Dialer{Timeout: n.dialTime, LocalAddr: source(n.address.Addr()), KeepAliveConfig: keepAlive}
+	dialer := net.Dialer{Timeout: n.dialTimeout, LocalAddr: localAddr(n.address.Addr()), KeepAliveConfig: keepAlive}
 	c, err := dialer.Dial("tcp", to.String())
 	if err != nil {
 		return nil, err
 	}
-	if err := greet(c, n.secrets[0], n.dialTime); err != nil {
+	if err := dialerHandshake(c, n.secrets[0], n.dialTimeout); err != nil {
 		_ = c.Close()
 		return nil, err
 	}
 	return nbio.NBConn(c)
 }
 
-// keepAlive finds connections that nobody uses and that have gone silent, before a request is sent on them.
+// keepAlive detects dead connections while they are idle, before a request is sent on them.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 2}
 
-// source returns the local end for connections from the address, nil for any.
-func source(a netip.Addr) net.Addr {
-	if !a.IsValid() || a.IsUnspecified() {
+// localAddr returns the local address for connections from the IP address; nil lets the system choose.
+func localAddr(ip netip.Addr) net.Addr {
+	if !ip.IsValid() || ip.IsUnspecified() {
 		return nil
 	}
-	return net.TCPAddrFromAddrPort(netip.AddrPortFrom(a, 0))
+	return net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0))
 }
 
-// adopt makes a freshly dialed connection the link of its lane.
-func (n *Node) adopt(at lane, c *nbio.Conn) (*link, error) {
+// addDialed adds a newly dialed connection to the poller and makes it the link for its key.
+func (n *Node) addDialed(key linkKey, c *nbio.Conn) (*link, error) {
 	l := n.linkOf(c)
-	l.greet.done = true
+	l.handshake.done = true
 	if _, err := n.engine.AddConn(c); err != nil {
-		n.closed(c, err)
-		return nil, errors.Wrapf(ErrNotSent, "add %s: %v", at.to, err)
+		n.handleClose(c, err)
+		return nil, errors.Wrapf(ErrNotSent, "add connection to %s to the poller: %v", key.to, err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.all[c] != l {
-		return nil, errors.Wrapf(ErrNotSent, "connection to %s closed", at.to)
+	if n.conns[c] != l {
+		return nil, errors.Wrapf(ErrNotSent, "connection to %s closed after dialing", key.to)
 	}
-	l.dialed = at
-	l.used.touch()
-	n.links[at] = l
+	l.key = key
+	l.lastUsed.setNow()
+	n.links[key] = l
 	return l, nil
 }
--- a/internal/wire/peer/doc.go
+++ b/internal/wire/peer/doc.go
@@ -1,3 +1,3 @@
-// Package peer carries typed messages between daemons: msgpack bodies in
-// length-framed TCP on nbio, many calls in flight on one connection.
+// Package peer carries typed messages between daemons: msgpack payloads in
+// length-prefixed frames over TCP, with many concurrent calls on one connection.
 package peer
--- a/internal/wire/peer/frame.go
+++ b/internal/wire/peer/frame.go
@@ -16,7 +16,7 @@
 
 const (
 	formRequest form = iota + 1
-	formAnswer
+	formResponse
 	formOneWay
 	formCancel
 	formOpen
@@ -34,7 +34,7 @@
 
 var (
 	errFrameSize = errors.New("peer: frame length out of bounds")
-	errFrameForm = errors.New("peer: unknown frame form")
+	errFrameForm = errors.New("peer: unexpected frame form or stream")
 )
 
 func (f *frame) encode() []byte {
@@ -42,40 +42,40 @@
 }
 
 func (f *frame) append(out []byte) []byte {
-	return append(f.appendHead(out, len(f.payload)), f.payload...)
+	return append(f.appendHeader(out, len(f.payload)), f.payload...)
 }
 
-func (f *frame) appendHead(out []byte, size int) []byte {
+func (f *frame) appendHeader(out []byte, size int) []byte {
 	out = binary.BigEndian.AppendUint32(out, uint32(headerSize+size))
 	out = append(out, byte(f.form), byte(f.kind))
 	return binary.BigEndian.AppendUint64(out, f.id)
 }
 
-// reader cuts a byte stream into frames. Each payload is read straight into a
-// buffer of its own size, so that a large body is held once.
-type reader struct {
-	head     []byte
-	next     frame
-	filled   int
-	inBody   bool
-	maxFrame int
-	pieces   assemblies
+// frameReader splits a byte stream into frames. Each payload is read directly into a
+// buffer of its exact size, so that a large body is in memory only once.
+type frameReader struct {
+	header    []byte
+	current   frame
+	filled    int
+	inPayload bool
+	maxFrame  int
+	assembler assembler
 }
 
-// feed takes the next bytes of the stream and passes each whole frame to emit.
-func (r *reader) feed(data []byte, emit func(frame)) error {
+// feed reads the next bytes of the stream and passes each complete frame to emit.
+func (r *frameReader) feed(data []byte, emit func(frame)) error {
 	for len(data) > 0 {
 		var err error
-		if r.inBody {
-			data = r.fill(data)
+		if r.inPayload {
+			data = r.readPayload(data)
 		} else {
-			data, err = r.open(data)
+			data, err = r.readHeader(data)
 		}
 		if err != nil {
 			return err
 		}
-		if r.inBody && r.filled == len(r.next.payload) {
-			if err := r.finish(emit); err != nil {
+		if r.inPayload && r.filled == len(r.current.payload) {
+			if err := r.finishFrame(emit); err != nil {
 				return err
 			}
 		}
@@ -83,59 +83,60 @@
 	return nil
 }
 
-// finish takes the frame that has arrived, and passes on what is whole with it.
-func (r *reader) finish(emit func(frame)) error {
-	f := r.next
-	r.next, r.filled, r.inBody, r.head = frame{}, 0, false, r.head[:0]
+// finishFrame resets the reader for the next frame and handles the one just read:
+// it emits the frame itself, or the frame that its piece completes.
+func (r *frameReader) finishFrame(emit func(frame)) error {
+	f := r.current
+	r.current, r.filled, r.inPayload, r.header = frame{}, 0, false, r.header[:0]
 	switch f.form {
 	case formOpen:
-		return r.pieces.begin(f, r.maxFrame)
+		return r.assembler.open(f, r.maxFrame)
 	case formPiece:
-		if whole, ok := r.pieces.fill(f.id, len(f.payload)); ok {
-			emit(whole)
+		if complete, ok := r.assembler.advance(f.id, len(f.payload)); ok {
+			emit(complete)
 		}
 	case formDrop:
-		r.pieces.drop(f.id)
+		r.assembler.drop(f.id)
 	default:
 		emit(f)
 	}
 	return nil
 }
 
-// open gathers a frame's head, and checks it before any memory is set aside for what follows.
-func (r *reader) open(data []byte) ([]byte, error) {
-	n := min(len(data), lengthSize+headerSize-len(r.head))
-	r.head = append(r.head, data[:n]...)
-	if len(r.head) >= lengthSize {
-		size := int(binary.BigEndian.Uint32(r.head))
+// readHeader collects a frame's header and checks it before a buffer for the payload is allocated.
+func (r *frameReader) readHeader(data []byte) ([]byte, error) {
+	n := min(len(data), lengthSize+headerSize-len(r.header))
+	r.header = append(r.header, data[:n]...)
+	if len(r.header) >= lengthSize {
+		size := int(binary.BigEndian.Uint32(r.header))
 		if size < headerSize || size > min(r.maxFrame, headerSize+pieceSize) {
-			return nil, errors.Wrapf(errFrameSize, "%d bytes", size)
+			return nil, errors.Wrapf(errFrameSize, "frame of %d bytes", size)
 		}
 	}
-	if len(r.head) < lengthSize+headerSize {
+	if len(r.header) < lengthSize+headerSize {
 		return data[n:], nil
 	}
-	body := r.head[lengthSize:]
-	r.next = frame{form: form(body[0]), kind: Kind(body[1]), id: binary.BigEndian.Uint64(body[2:])}
-	if r.next.form == 0 || r.next.form > formLast {
-		return nil, errors.Wrapf(errFrameForm, "%d", r.next.form)
+	fields := r.header[lengthSize:]
+	r.current = frame{form: form(fields[0]), kind: Kind(fields[1]), id: binary.BigEndian.Uint64(fields[2:])}
+	if r.current.form == 0 || r.current.form > formLast {
+		return nil, errors.Wrapf(errFrameForm, "form %d", r.current.form)
 	}
-	payload, err := r.room(int(binary.BigEndian.Uint32(r.head)) - headerSize)
-	r.next.payload = payload
-	r.inBody = true
+	payload, err := r.payloadBuffer(int(binary.BigEndian.Uint32(r.header)) - headerSize)
+	r.current.payload = payload
+	r.inPayload = true
 	return data[n:], err
 }
 
-// room returns where the next frame's payload goes.
-func (r *reader) room(size int) ([]byte, error) {
-	if r.next.form == formPiece {
-		return r.pieces.room(r.next.id, size)
+// payloadBuffer returns the buffer into which the current frame's payload is read.
+func (r *frameReader) payloadBuffer(size int) ([]byte, error) {
+	if r.current.form == formPiece {
+		return r.assembler.pieceBuffer(r.current.id, size)
 	}
 	return make([]byte, size), nil
 }
 
-func (r *reader) fill(data []byte) []byte {
-	n := copy(r.next.payload[r.filled:], data)
+func (r *frameReader) readPayload(data []byte) []byte {
+	n := copy(r.current.payload[r.filled:], data)
 	r.filled += n
 	return data[n:]
 }
--- a/internal/wire/peer/frame_test.go
+++ b/internal/wire/peer/frame_test.go
@@ -7,18 +7,18 @@
 )
 
 func TestReader(t *testing.T) {
-	whole := frame{form: formRequest, kind: KindCall, id: 7, payload: []byte("hello")}
+	full := frame{form: formRequest, kind: KindCall, id: 7, payload: []byte("hello")}
 	empty := frame{form: formCancel, kind: KindCall, id: 8, payload: []byte{}}
-	stream := append(whole.encode(), empty.encode()...)
-	stream = append(stream, whole.encode()...)
-	Convey("Frames are found however the stream is cut", t, func() {
+	stream := append(full.encode(), empty.encode()...)
+	stream = append(stream, full.encode()...)
+	Convey("Frames are decoded however the stream is split", t, func() {
 		for step := 1; step <= len(stream); step++ {
-			r := reader{maxFrame: 100}
+			r := frameReader{maxFrame: 100}
 			var got []frame
-			for at := 0; at < len(stream); at += step {
-				So(r.feed(stream[at:min(at+step, len(stream))], func(f frame) { got = append(got, f) }), ShouldBeNil)
+			for offset := 0; offset < len(stream); offset += step {
+				So(r.feed(stream[offset:min(offset+step, len(stream))], func(f frame) { got = append(got, f) }), ShouldBeNil)
 			}
-			So(got, ShouldResemble, []frame{whole, empty, whole})
+			So(got, ShouldResemble, []frame{full, empty, full})
 		}
 	})
 	bad := []struct {
@@ -30,9 +30,9 @@
 		{"too short", "\x00\x00\x00\x01", errFrameSize},
 		{"unknown form", "\x00\x00\x00\x0a\x09\x01\x00\x00\x00\x00\x00\x00\x00\x00", errFrameForm},
 	}
-	Convey("Bytes that are no frame are an error", t, func() {
+	Convey("Invalid frames are an error", t, func() {
 		for _, b := range bad {
-			r := reader{maxFrame: 100}
+			r := frameReader{maxFrame: 100}
 			So(r.feed([]byte(b.stream), func(frame) {}), ShouldWrap, b.want)
 		}
 	})
@@ -49,21 +49,21 @@
 	drop := frame{form: formDrop, id: 1}
 	f.Add(append(inPieces(one, 1, 2)[:45], drop.encode()...), 7)
 	f.Fuzz(func(t *testing.T, stream []byte, step int) {
-		const bound = 1 << 16
+		const maxFrame = 1 << 16
 		step = min(max(step, 1), max(len(stream), 1))
-		whole, cut := reader{maxFrame: bound}, reader{maxFrame: bound}
+		whole, split := frameReader{maxFrame: maxFrame}, frameReader{maxFrame: maxFrame}
 		var want, got []frame
 		wantErr := whole.feed(stream, func(f frame) { want = append(want, f) })
 		var gotErr error
-		for at := 0; at < len(stream) && gotErr == nil; at += step {
-			gotErr = cut.feed(stream[at:min(at+step, len(stream))], func(f frame) { got = append(got, f) })
+		for offset := 0; offset < len(stream) && gotErr == nil; offset += step {
+			gotErr = split.feed(stream[offset:min(offset+step, len(stream))], func(f frame) { got = append(got, f) })
 		}
 		if (wantErr == nil) != (gotErr == nil) || len(want) != len(got) {
-			t.Fatalf("cut every %d bytes: %d frames, error %v; at once: %d frames, error %v", step, len(got), gotErr, len(want), wantErr)
+			t.Fatalf("split every %d bytes: %d frames, error %v; unsplit: %d frames, error %v", step, len(got), gotErr, len(want), wantErr)
 		}
 		for i := range want {
-			if want[i].id != got[i].id || string(want[i].payload) != string(got[i].payload) || len(got[i].payload) > bound {
-				t.Fatalf("frame %d differs", i)
+			if want[i].id != got[i].id || string(want[i].payload) != string(got[i].payload) || len(got[i].payload) > maxFrame {
+				t.Fatalf("frame %d differs between the split and the unsplit stream or exceeds the maximum size", i)
 			}
 		}
 	})
--- a/internal/wire/peer/handshake.go
+++ b/internal/wire/peer/handshake.go
@@ -11,39 +11,39 @@
 	"github.com/pkg/errors"
 )
 
-// A connection opens with a mutual proof of the fleet's secret:
+// A connection starts with a handshake in which both sides prove that they know the fleet's secret:
 //
 //	dialer   → preamble, nonce
 //	listener → nonce
 //	dialer   → HMAC(secret, "dialer", both nonces)
 //	listener → HMAC(secret, "listener", both nonces)
 //
-// Whoever reaches the port could otherwise hand on a request with an
-// organisation, a priority and a budget of his choice, and a process on a
-// reused address could be taken for a peer. The nonces make a recorded
-// handshake worthless, the two names keep a proof from being sent back to
-// whoever gave it.
+// Without it, anyone who reaches the port could forward a request with any
+// organisation, priority and budget, and a process on a
+// reused address could be taken for a peer. The nonces prevent replay of a recorded
+// handshake, and the two roles prevent reflection of a proof to the side that
+// computed it.
 const (
 	preamble  = "fxh2"
 	nonceSize = 16
 	proofSize = sha256.Size
 	helloSize = len(preamble) + nonceSize
 
-	nameDialer   = "dialer"
-	nameListener = "listener"
+	roleDialer   = "dialer"
+	roleListener = "listener"
 )
 
 var (
-	errNotPeer = errors.New("peer: bytes on the port are not a peer's")
-	errSecret  = errors.New("peer: the other side does not know the fleet's secret")
+	errNotPeer = errors.New("peer: connection does not start with the preamble fxh2")
+	errSecret  = errors.New("peer: the other side did not prove the fleet's secret")
 )
 
-// noSecret is the secret of a fleet that was given none.
+// noSecret is the secret of a fleet for which none is configured.
 const noSecret = ""
 
-func prove(secret, name string, dialer, listener []byte) []byte {
+func computeProof(secret, role string, dialer, listener []byte) []byte {
 	mac := hmac.New(sha256.New, []byte(secret))
-	mac.Write([]byte(name))
+	mac.Write([]byte(role))
 	mac.Write(dialer)
 	mac.Write(listener)
 	return mac.Sum(nil)
@@ -55,80 +55,80 @@
 	return nonce
 }
 
-// greet is the dialer's part; the connection is still a blocking one.
-func greet(c net.Conn, secret string, limit time.Duration) error {
-	if err := c.SetDeadline(time.Now().Add(limit)); err != nil {
+// dialerHandshake performs the dialer's side of the handshake on a connection that is still blocking.
+func dialerHandshake(c net.Conn, secret string, timeout time.Duration) error {
+	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return errors.Wrap(err, "peer: handshake")
 	}
-	mine := newNonce()
-	if _, err := c.Write(append([]byte(preamble), mine...)); err != nil {
+	ownNonce := newNonce()
+	if _, err := c.Write(append([]byte(preamble), ownNonce...)); err != nil {
 		return errors.Wrap(err, "peer: handshake")
 	}
-	theirs := make([]byte, nonceSize)
-	if _, err := io.ReadFull(c, theirs); err != nil {
+	peerNonce := make([]byte, nonceSize)
+	if _, err := io.ReadFull(c, peerNonce); err != nil {
 		return errors.Wrap(err, "peer: handshake")
 	}
-	if _, err := c.Write(prove(secret, nameDialer, mine, theirs)); err != nil {
+	if _, err := c.Write(computeProof(secret, roleDialer, ownNonce, peerNonce)); err != nil {
 		return errors.Wrap(err, "peer: handshake")
 	}
 	proof := make([]byte, proofSize)
 	if _, err := io.ReadFull(c, proof); err != nil {
 		return errors.Wrap(err, "peer: handshake")
 	}
-	if !hmac.Equal(proof, prove(secret, nameListener, mine, theirs)) {
+	if !hmac.Equal(proof, computeProof(secret, roleListener, ownNonce, peerNonce)) {
 		return errSecret
 	}
 	return errors.Wrap(c.SetDeadline(time.Time{}), "peer: handshake")
 }
 
-// greeting is the listener's part, fed with bytes as they come.
-type greeting struct {
-	secrets []string
-	buffer  []byte
-	mine    []byte
-	done    bool
+// listenerHandshake is the listener's side of the handshake, fed with bytes as they arrive.
+type listenerHandshake struct {
+	secrets  []string
+	buffer   []byte
+	ownNonce []byte
+	done     bool
 }
 
-// feed takes bytes and returns those behind the handshake; it holds no more than the handshake's few.
-func (g *greeting) feed(data []byte, send func([]byte)) ([]byte, error) {
-	if g.mine == nil {
-		data = g.gather(data, helloSize)
-		if len(g.buffer) >= len(preamble) && string(g.buffer[:len(preamble)]) != preamble {
+// feed reads bytes and returns those after the handshake; it buffers no more than the handshake's own.
+func (h *listenerHandshake) feed(data []byte, send func([]byte)) ([]byte, error) {
+	if h.ownNonce == nil {
+		data = h.bufferUpTo(data, helloSize)
+		if len(h.buffer) >= len(preamble) && string(h.buffer[:len(preamble)]) != preamble {
 			return nil, errNotPeer
 		}
-		if len(g.buffer) < helloSize {
+		if len(h.buffer) < helloSize {
 			return nil, nil
 		}
-		g.mine = newNonce()
-		send(g.mine)
+		h.ownNonce = newNonce()
+		send(h.ownNonce)
 	}
-	data = g.gather(data, helloSize+proofSize)
-	if len(g.buffer) < helloSize+proofSize {
+	data = h.bufferUpTo(data, helloSize+proofSize)
+	if len(h.buffer) < helloSize+proofSize {
 		return nil, nil
 	}
-	secret, ok := g.match()
+	secret, ok := h.matchSecret()
 	if !ok {
 		return nil, errSecret
 	}
-	send(prove(secret, nameListener, g.theirs(), g.mine))
-	g.done = true
-	g.buffer = nil
+	send(computeProof(secret, roleListener, h.peerNonce(), h.ownNonce))
+	h.done = true
+	h.buffer = nil
 	return data, nil
 }
 
-func (g *greeting) theirs() []byte { return g.buffer[len(preamble):helloSize] }
+func (h *listenerHandshake) peerNonce() []byte { return h.buffer[len(preamble):helloSize] }
 
-func (g *greeting) gather(data []byte, upTo int) []byte {
-	n := min(len(data), max(upTo-len(g.buffer), 0))
-	g.buffer = append(g.buffer, data[:n]...)
+func (h *listenerHandshake) bufferUpTo(data []byte, size int) []byte {
+	n := min(len(data), max(size-len(h.buffer), 0))
+	h.buffer = append(h.buffer, data[:n]...)
 	return data[n:]
 }
 
-// match finds which of the accepted secrets the dialer proved; during a change of secret there are two.
-func (g *greeting) match() (string, bool) {
+// matchSecret returns the accepted secret that the dialer proved; while the fleet's secret is changed, two are accepted.
+func (h *listenerHandshake) matchSecret() (string, bool) {
 	found, ok := "", false
-	for _, secret := range g.secrets {
-		if hmac.Equal(g.buffer[helloSize:], prove(secret, nameDialer, g.theirs(), g.mine)) {
+	for _, secret := range h.secrets {
+		if hmac.Equal(h.buffer[helloSize:], computeProof(secret, roleDialer, h.peerNonce(), h.ownNonce)) {
 			found, ok = secret, true
 		}
 	}
--- a/internal/wire/peer/handshake_test.go
+++ b/internal/wire/peer/handshake_test.go
@@ -13,10 +13,10 @@
 	"github.com/foxtailhook/foxtailhook/internal/proof/loopback"
 )
 
-func startWith(t *testing.T, opts ...Option) (*Node, netip.AddrPort) {
+func startEchoNode(t *testing.T, opts ...Option) (*Node, netip.AddrPort) {
 	address := loopback.Address()
-	n := New(address, append([]Option{patient}, opts...)...)
-	Handle(n, KindCall, func(_ context.Context, _ netip.AddrPort, q question) question { return q })
+	n := New(address, append([]Option{withLongTimeouts}, opts...)...)
+	Handle(n, KindCall, func(_ context.Context, _ netip.AddrPort, m message) message { return m })
 	if err := n.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -25,9 +25,9 @@
 }
 
 func TestSecrets(t *testing.T) {
-	// Someone who reaches the peers' port hands on requests with an
-	// organisation and a budget of his own making. While operators change the
-	// secret, hosts with the old and the new one must still work together.
+	// Without the fleet's secret, a process that reaches the peer port must not be able to
+	// forward requests. While operators change the secret, hosts with the old and
+	// hosts with the new one must still accept each other.
 	cases := []struct {
 		name     string
 		dialer   []string
@@ -35,22 +35,22 @@
 		want     error
 	}{
 		{"the same secret", []string{"one"}, []string{"one"}, nil},
-		{"none on either side", nil, nil, nil},
-		{"a forged one", []string{"guess"}, []string{"one"}, ErrNotSent},
-		{"none where one is needed", nil, []string{"one"}, ErrNotSent},
-		{"an old secret during a change", []string{"one"}, []string{"two", "one"}, nil},
-		{"a new secret during a change", []string{"two", "one"}, []string{"one", "two"}, nil},
-		{"an old secret after a change", []string{"one"}, []string{"two"}, ErrNotSent},
+		{"no secret on either side", nil, nil, nil},
+		{"a wrong secret", []string{"guess"}, []string{"one"}, ErrNotSent},
+		{"no secret where one is required", nil, []string{"one"}, ErrNotSent},
+		{"the old secret during a change", []string{"one"}, []string{"two", "one"}, nil},
+		{"the new secret during a change", []string{"two", "one"}, []string{"one", "two"}, nil},
+		{"the old secret after a change", []string{"one"}, []string{"two"}, ErrNotSent},
 	}
-	Convey("Calls go through only with a secret that the listener accepts", t, func() {
+	Convey("Calls succeed only with a secret that the listener accepts", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				_, address := startWith(t, WithSecrets(c.listener...))
-				client, _ := startWith(t, WithSecrets(c.dialer...))
-				back, err := Call[question, question](t.Context(), client, address, KindCall, question{"x"})
+				_, address := startEchoNode(t, WithSecrets(c.listener...))
+				client, _ := startEchoNode(t, WithSecrets(c.dialer...))
+				reply, err := Call[message, message](t.Context(), client, address, KindCall, message{"x"})
 				if c.want == nil {
 					So(err, ShouldBeNil)
-					So(back.Text, ShouldEqual, "x")
+					So(reply.Text, ShouldEqual, "x")
 				} else {
 					So(err, ShouldWrap, c.want)
 				}
@@ -59,14 +59,14 @@
 	})
 }
 
-// dialRaw opens a connection and gathers what comes back until it is closed.
-func dialRaw(t *testing.T, to netip.AddrPort, send ...string) []byte {
+// exchangeRaw opens a connection, sends the texts and returns what is received until the connection is closed.
+func exchangeRaw(t *testing.T, to netip.AddrPort, send ...string) []byte {
 	conn, err := net.Dial("tcp", to.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	for _, text := range send {
 		if _, err := conn.Write([]byte(text)); err != nil {
 			break
@@ -77,32 +77,31 @@
 	return raw
 }
 
-func TestStrangersOnThePort(t *testing.T) {
-	// Strangers connect to the peers' port: with another protocol, with a frame
-	// in place of a proof, with a proof sent back as it came, or with nothing
-	// at all. The daemon's own work must not notice.
-	_, address := startWith(t, WithSecrets("one"))
-	_, strict := startWith(t, WithSecrets("one"), func(n *Node) { n.greetTime = defaultGreetTime })
+func TestUnauthenticatedConnectionsAreClosed(t *testing.T) {
+	// Connections to the peer port that speak another protocol, send a frame in place of the proof, or
+	// don't complete the handshake must be closed without affecting peers.
+	_, address := startEchoNode(t, WithSecrets("one"))
+	_, shortTimeout := startEchoNode(t, WithSecrets("one"), func(n *Node) { n.handshakeTimeout = defaultHandshakeTimeout })
 	forged := frame{form: formRequest, kind: KindCall, id: 1, payload: []byte("\x81\xa4text\xa1x")}
 	cases := []struct {
-		name string
-		to   netip.AddrPort
-		send []string
-		back int
+		name      string
+		to        netip.AddrPort
+		send      []string
+		wantBytes int
 	}{
 		{"another protocol", address, []string{"GET / HTTP/1.1\r\n\r\n"}, 0},
 		{"an older preamble", address, []string{"fxh1"}, 0},
-		{"frames behind the nonce", address, []string{preamble + string(newNonce()), string(forged.encode()), string(make([]byte, proofSize))}, nonceSize},
-		{"nothing", strict, nil, 0},
-		{"half a greeting", strict, []string{preamble}, 0},
+		{"a frame in place of the proof", address, []string{preamble + string(newNonce()), string(forged.encode()), string(make([]byte, proofSize))}, nonceSize},
+		{"no bytes", shortTimeout, nil, 0},
+		{"a preamble without a nonce", shortTimeout, []string{preamble}, 0},
 	}
 	Convey("The connection is closed and nothing is executed", t, func() {
 		for _, c := range cases {
-			Convey(c.name, func() { So(len(dialRaw(t, c.to, c.send...)), ShouldEqual, c.back) })
+			Convey(c.name, func() { So(len(exchangeRaw(t, c.to, c.send...)), ShouldEqual, c.wantBytes) })
 		}
-		Convey("a peer is served all the same", func() {
-			client, _ := startWith(t, WithSecrets("one"))
-			_, err := Call[question, question](t.Context(), client, address, KindCall, question{"x"})
+		Convey("a peer is still served", func() {
+			client, _ := startEchoNode(t, WithSecrets("one"))
+			_, err := Call[message, message](t.Context(), client, address, KindCall, message{"x"})
 			So(err, ShouldBeNil)
 		})
 	})
@@ -114,14 +113,14 @@
 	f.Add(make([]byte, 200), 7)
 	f.Fuzz(func(t *testing.T, stream []byte, step int) {
 		step = min(max(step, 1), max(len(stream), 1))
-		g := greeting{secrets: []string{"one"}}
-		for at := 0; at < len(stream); at += step {
-			_, err := g.feed(stream[at:min(at+step, len(stream))], func([]byte) {})
-			if g.done {
-				t.Fatal("a stranger was taken for a peer")
+		h := listenerHandshake{secrets: []string{"one"}}
+		for offset := 0; offset < len(stream); offset += step {
+			_, err := h.feed(stream[offset:min(offset+step, len(stream))], func([]byte) {})
+			if h.done {
+				t.Fatal("handshake completed without a valid proof")
 			}
-			if len(g.buffer) > helloSize+proofSize {
-				t.Fatalf("%d bytes held", len(g.buffer))
+			if len(h.buffer) > helloSize+proofSize {
+				t.Fatalf("%d bytes buffered, want at most the handshake's", len(h.buffer))
 			}
 			if err != nil {
 				return
--- a/internal/wire/peer/kind.go
+++ b/internal/wire/peer/kind.go
@@ -2,37 +2,37 @@
 
 //go:generate stringer -type=Kind -linecomment
 
-// Kind names the handler that a message is for.
+// Kind is the type of a message and selects its handler.
 type Kind uint8
 
 const (
-	// KindCall hands a request on to the daemon beside the chosen upstream.
+	// KindCall forwards a request to the daemon on the chosen upstream's host.
 	KindCall Kind = iota + 1 // call
-	// KindDigest tells the versions of the lists that a daemon knows.
+	// KindDigest states the versions of the lists that a daemon knows.
 	KindDigest // digest
 	// KindFetch asks for list values.
 	KindFetch // fetch
-	// KindLease asks a home for tokens of an organisation's rate.
+	// KindLease asks the home of a rate shard for tokens of an organisation's rate.
 	KindLease // lease
-	// KindHandover passes rate units on to their next home.
+	// KindHandover transfers rate shards to their next home.
 	KindHandover // handover
-	// KindConfirm asks a peer what it knows of membership.
+	// KindConfirm asks a peer for its view of the membership.
 	KindConfirm // confirm
 	// KindRecall asks where an idempotency key was run.
 	KindRecall // recall
-	// KindOnce hands a request on to the holder of its idempotency key.
+	// KindOnce forwards a request to the daemon that holds its idempotency key.
 	KindOnce // once
-	// KindLegacy passes a leaving daemon's idempotency keys on.
+	// KindLegacy transfers the idempotency keys of a leaving daemon.
 	KindLegacy // legacy
-	// KindRun hands a request on to the daemon beside an instance.
+	// KindRun forwards a request to the daemon on the host of an instance.
 	KindRun // run
-	// KindBeat tells a collector what a daemon sees and knows.
+	// KindBeat is a daemon's heartbeat with its report to a collector.
 	KindBeat // beat
-	// KindChanges asks for changes of what is published.
+	// KindChanges asks for changes to what is published.
 	KindChanges // changes
-	// KindProbe asks for a sign of life.
+	// KindProbe asks for an immediate, empty response.
 	KindProbe // probe
 )
 
-// Kinds is one more than the last kind; kind 0 is of no message.
+// Kinds is the last kind plus one; no message has kind 0.
 const Kinds = int(KindProbe) + 1
--- a/internal/wire/peer/link.go
+++ b/internal/wire/peer/link.go
@@ -11,37 +11,39 @@
 	"github.com/pkg/errors"
 )
 
-// link is one connection with the calls in flight on it, in both directions.
+// link is one connection to a peer with the calls in flight on it, in both directions.
 type link struct {
-	node   *Node
-	conn   *nbio.Conn
-	remote netip.AddrPort
-	dialed lane
-	greet  greeting
-	reader reader
-	used   stamp
-	asked  stamp
-	// heard is when anything came on the link, and waits when the first of the calls that wait was sent.
-	heard stamp
-	waits stamp
-	// silenced is closed when the link is given up as silent.
-	silenced chan struct{}
-	silence  sync.Once
+	node      *Node
+	conn      *nbio.Conn
+	remote    netip.AddrPort
+	key       linkKey
+	handshake listenerHandshake
+	reader    frameReader
+	lastUsed  timestamp
+	// unansweredSince is when the first call since the last received byte was added; unset if there was none.
+	unansweredSince timestamp
+	// lastReceived is when bytes were last received, and waitingSince when the pending calls last became more than none.
+	lastReceived timestamp
+	waitingSince timestamp
+	// silent is closed when the peer has not responded to probes within Probes.Limit.
+	silent     chan struct{}
+	silentOnce sync.Once
 
-	sending sync.Mutex
-	queued  atomic.Uint64
-	written atomic.Uint64
+	writeMu      sync.Mutex
+	queuedBytes  atomic.Uint64
+	writtenBytes atomic.Uint64
 
-	out      outbox
-	awaiting atomic.Bool
-	drained  chan struct{}
-	gone     chan struct{}
-	leave    sync.Once
+	outbox        outbox
+	awaitingDrain atomic.Bool
+	drained       chan struct{}
+	closed        chan struct{}
+	closeOnce     sync.Once
 
-	mu      sync.Mutex
-	nextID  uint64
-	waiting map[uint64]chan frame
-	running map[uint64]context.CancelFunc
+	mu              sync.Mutex
+	nextID          uint64
+	pendingCalls    map[uint64]chan frame
+	runningHandlers map[uint64]context.CancelFunc
+	// broken means that the connection is closed or about to be, retired that this node sends no new calls on it.
 	broken  bool
 	retired bool
 }
@@ -49,51 +51,52 @@
 func newLink(n *Node, c *nbio.Conn) *link {
 	remote, _ := netip.ParseAddrPort(c.RemoteAddr().String())
 	return &link{
-		node:    n,
-		conn:    c,
-		remote:  remote,
-		greet:   greeting{secrets: n.secrets},
-		reader:  reader{maxFrame: n.maxFrame},
-		waiting: map[uint64]chan frame{},
-		running: map[uint64]context.CancelFunc{},
-		drained: make(chan struct{}, 1),
-		gone:    make(chan struct{}),
+		node:            n,
+		conn:            c,
+		remote:          remote,
+		handshake:       listenerHandshake{secrets: n.secrets},
+		reader:          frameReader{maxFrame: n.maxFrame},
+		pendingCalls:    map[uint64]chan frame{},
+		runningHandlers: map[uint64]context.CancelFunc{},
+		drained:         make(chan struct{}, 1),
+		closed:          make(chan struct{}),
 
-		silenced: make(chan struct{}),
+		silent: make(chan struct{}),
 	}
 }
 
-// sent tells where on the stream a frame ends.
-type sent struct {
-	end    uint64
-	pieces *outgoing
+// sendPosition locates the end of a frame in the connection's byte stream: at endOffset,
+// or for a frame sent in pieces at outgoing's endOffset.
+type sendPosition struct {
+	endOffset uint64
+	outgoing  *outgoing
 }
 
-// send sends a frame, a large one in pieces beside others; an error means that it was not sent whole.
-func (l *link) send(f frame) (sent, error) {
+// send sends a frame, or starts to send a large one in pieces; an error means that it was not sent whole.
+func (l *link) send(f frame) (sendPosition, error) {
 	if len(f.payload) <= pieceSize {
-		end, err := l.write(f.encode(), nil)
-		return sent{end: end}, err
+		endOffset, err := l.write(f.encode(), nil)
+		return sendPosition{endOffset: endOffset}, err
 	}
 	if headerSize+len(f.payload) > l.node.maxFrame {
-		return sent{}, errors.Wrapf(errFrameSize, "%d bytes", len(f.payload))
+		return sendPosition{}, errors.Wrapf(errFrameSize, "payload of %d bytes", len(f.payload))
 	}
 	o := &outgoing{frame: f}
-	if l.out.add(o) {
+	if l.outbox.add(o) {
 		go l.pump()
 	}
-	return sent{pieces: o}, nil
+	return sendPosition{outgoing: o}, nil
 }
 
-// abandon tells the other side that nobody waits for a request's answer any more, or sends no more of the request.
-func (l *link) abandon(f frame, s sent) {
-	if s.pieces == nil || s.pieces.end.Load() > 0 {
+// abandon cancels a request at the other side, or stops sending it if a part has not been sent yet.
+func (l *link) abandon(f frame, position sendPosition) {
+	if position.outgoing == nil || position.outgoing.endOffset.Load() > 0 {
 		l.sendCancel(f)
 		return
 	}
-	l.out.drop(s.pieces)
-	// The last piece may have gone between the two, and its pump have seen nothing of this.
-	if s.pieces.end.Load() > 0 {
+	l.outbox.drop(position.outgoing)
+	// The last piece may have been queued since the first check, in which case the pump may not have seen the drop.
+	if position.outgoing.endOffset.Load() > 0 {
 		l.sendCancel(f)
 	}
 }
@@ -105,145 +108,145 @@
 
 // write sends bytes and returns the stream offset at which they end; an error
 // means that they were not sent whole, so the other side can't act on them.
-// The offset is stored before the first byte can leave: a connection that breaks
-// meanwhile must not show a frame that left whole as one whose end was not queued.
-func (l *link) write(data []byte, end *atomic.Uint64) (uint64, error) {
-	l.sending.Lock()
-	defer l.sending.Unlock()
-	queued := l.queued.Load() + uint64(len(data))
-	if end != nil {
-		end.Store(queued)
+// The offset is stored in endOffset before the first byte can be sent: if the connection breaks
+// meanwhile, a frame that was sent whole must not look like one whose last piece was never queued.
+func (l *link) write(data []byte, endOffset *atomic.Uint64) (uint64, error) {
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
+	queued := l.queuedBytes.Load() + uint64(len(data))
+	if endOffset != nil {
+		endOffset.Store(queued)
 	}
 	if _, err := l.conn.Write(data); err != nil {
 		return 0, err
 	}
-	l.queued.Store(queued)
+	l.queuedBytes.Store(queued)
 	l.node.countSent(data)
 	return queued, nil
 }
 
-// cutOff reports whether a frame never left whole.
+// notSentWhole reports whether a part of a frame was never sent. It is called once the
+// link is broken, when no more bytes are sent.
 //
 // A connection can break while a large request is still in the send queue, or
 // has pieces that were not even queued. The peer executes whole frames only, and
-// bytes are counted before the connection can be seen as closed, so fewer than
-// the frame needs prove that it did not run. It is asked once the link is
-// broken, when no more bytes go out.
-func (l *link) cutOff(s sent) bool {
-	end := s.end
-	if s.pieces != nil {
-		end = s.pieces.end.Load()
+// sent bytes are counted before the connection can be seen as closed, so a count below
+// the frame's end proves that the request did not run.
+func (l *link) notSentWhole(position sendPosition) bool {
+	endOffset := position.endOffset
+	if position.outgoing != nil {
+		endOffset = position.outgoing.endOffset.Load()
 	}
-	return end == 0 || l.written.Load() < end
+	return endOffset == 0 || l.writtenBytes.Load() < endOffset
 }
 
-// data takes the next bytes of the stream.
-func (l *link) data(bytes []byte) error {
-	l.asked.clear()
-	l.heard.touch()
-	if l.greet.done {
-		return l.reader.feed(bytes, l.take)
+// receive handles the next bytes of the stream.
+func (l *link) receive(data []byte) error {
+	l.unansweredSince.clear()
+	l.lastReceived.setNow()
+	if l.handshake.done {
+		return l.reader.feed(data, l.handleFrame)
 	}
-	rest, err := l.greet.feed(bytes, func(out []byte) { _, _ = l.write(out, nil) })
-	if err != nil || !l.greet.done {
+	rest, err := l.handshake.feed(data, func(out []byte) { _, _ = l.write(out, nil) })
+	if err != nil || !l.handshake.done {
 		return err
 	}
 	_ = l.conn.SetReadDeadline(time.Time{})
-	return l.reader.feed(rest, l.take)
+	return l.reader.feed(rest, l.handleFrame)
 }
 
-// expect registers a call and returns its id and where its answer arrives; false means the link is broken.
-func (l *link) expect() (uint64, chan frame, bool) {
+// addCall registers a call and returns its id and the channel for its response; false means that the link takes no new calls.
+func (l *link) addCall() (uint64, chan frame, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.broken || l.retired {
 		return 0, nil, false
 	}
-	l.asked.touchFirst()
-	if len(l.waiting) == 0 {
-		l.waits.touch()
+	l.unansweredSince.setNowIfZero()
+	if len(l.pendingCalls) == 0 {
+		l.waitingSince.setNow()
 	}
 	l.nextID++
-	answer := make(chan frame, 1)
-	l.waiting[l.nextID] = answer
-	return l.nextID, answer, true
+	response := make(chan frame, 1)
+	l.pendingCalls[l.nextID] = response
+	return l.nextID, response, true
 }
 
-// forget drops a call that nobody waits for any more, so that its late answer goes nowhere.
-func (l *link) forget(id uint64) {
+// removeCall removes a call that its caller has given up, so that a late response is discarded.
+func (l *link) removeCall(id uint64) {
 	l.mu.Lock()
-	delete(l.waiting, id)
-	over := l.over()
+	delete(l.pendingCalls, id)
+	drained := l.breakIfDrained()
 	l.mu.Unlock()
-	if over {
+	if drained {
 		_ = l.conn.Close()
 	}
 }
 
-// take handles one frame from the other side.
-func (l *link) take(f frame) {
-	l.node.counts[kindIndex(f.kind)].received.Add(uint64(lengthSize + headerSize + len(f.payload)))
+// handleFrame handles one frame from the other side.
+func (l *link) handleFrame(f frame) {
+	l.node.bytesByKind[kindIndex(f.kind)].received.Add(uint64(lengthSize + headerSize + len(f.payload)))
 	switch f.form {
-	case formAnswer:
-		l.answer(f)
+	case formResponse:
+		l.deliver(f)
 	case formCancel:
-		l.cancel(f.id)
+		l.cancelHandler(f.id)
 	case formRequest, formOneWay:
-		l.serve(f)
+		l.startHandler(f)
 	}
 }
 
-func (l *link) answer(f frame) {
+func (l *link) deliver(f frame) {
 	l.mu.Lock()
-	waiter, ok := l.waiting[f.id]
-	delete(l.waiting, f.id)
-	over := l.over()
+	response, ok := l.pendingCalls[f.id]
+	delete(l.pendingCalls, f.id)
+	drained := l.breakIfDrained()
 	l.mu.Unlock()
 	if ok {
-		waiter <- f
+		response <- f
 	}
-	if over {
+	if drained {
 		_ = l.conn.Close()
 	}
 }
 
-func (l *link) cancel(id uint64) {
+func (l *link) cancelHandler(id uint64) {
 	l.mu.Lock()
-	stop, ok := l.running[id]
+	stop, ok := l.runningHandlers[id]
 	l.mu.Unlock()
 	if ok {
 		stop()
 	}
 }
 
-func (l *link) serve(f frame) {
+func (l *link) startHandler(f frame) {
 	h, ok := l.node.handlers[f.kind]
 	if !ok {
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	l.mu.Lock()
-	// Nobody could be told of the answer, and fail, which stops what runs, has been.
+	// On a broken link the response could not be sent, and endCalls, which would stop the handler, may have run already.
 	if l.broken {
 		l.mu.Unlock()
 		stop()
 		return
 	}
 	if f.form == formRequest {
-		l.running[f.id] = stop
+		l.runningHandlers[f.id] = stop
 	}
 	l.mu.Unlock()
 	l.node.workers.Go(func() {
 		defer stop()
-		l.handle(ctx, h, f)
+		l.runHandler(ctx, h, f)
 	})
 }
 
-func (l *link) handle(ctx context.Context, h handler, f frame) {
+func (l *link) runHandler(ctx context.Context, h handler, f frame) {
 	out, err := h(ctx, l.remote, f.payload)
 	if f.form == formRequest {
 		l.mu.Lock()
-		delete(l.running, f.id)
+		delete(l.runningHandlers, f.id)
 		l.mu.Unlock()
 	}
 	if err != nil {
@@ -252,24 +255,24 @@
 		return
 	}
 	if f.form == formRequest {
-		reply := frame{form: formAnswer, kind: f.kind, id: f.id, payload: out}
-		if _, err := l.send(reply); err != nil {
+		response := frame{form: formResponse, kind: f.kind, id: f.id, payload: out}
+		if _, err := l.send(response); err != nil {
 			_ = l.conn.CloseWithError(err)
 		}
 	}
 }
 
-// fail ends every call in flight: their answers can't arrive any more, and work for a caller that is gone is stopped.
-func (l *link) fail() {
-	l.leave.Do(func() { close(l.gone) })
+// endCalls ends all calls on a closed connection: pending calls get no response any more, and handlers that run for the other side are cancelled.
+func (l *link) endCalls() {
+	l.closeOnce.Do(func() { close(l.closed) })
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.broken = true
-	for id, waiter := range l.waiting {
-		close(waiter)
-		delete(l.waiting, id)
+	for id, response := range l.pendingCalls {
+		close(response)
+		delete(l.pendingCalls, id)
 	}
-	for _, stop := range l.running {
+	for _, stop := range l.runningHandlers {
 		stop()
 	}
 }
--- a/internal/wire/peer/node.go
+++ b/internal/wire/peer/node.go
@@ -13,79 +13,79 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/loops"
 )
 
-// ErrNotSent means that the message did not leave this process whole, so the peer can't have acted on it.
+// ErrNotSent means that the message was not sent whole, so the peer can't have acted on it.
 var ErrNotSent = errors.New("peer: not sent")
 
-// ErrLost means that the message was sent and no answer came back; the peer may have acted on it.
-var ErrLost = errors.New("peer: answer lost")
+// ErrLost means that the message was sent and no response arrived; the peer may have acted on it.
+var ErrLost = errors.New("peer: response lost")
 
-// Logger receives one line for each connection that is closed for a fault.
+// Logger receives the error of each connection that is closed because of a fault.
 type Logger func(from netip.AddrPort, err error)
 
-// Node is one daemon's end of the peer network.
+// Node is one daemon's endpoint in the peer network: it listens, and dials other nodes.
 type Node struct {
-	engine    *loops.Engine
-	address   netip.AddrPort
-	maxFrame  int
-	dialTime  time.Duration
-	greetTime time.Duration
-	logger    Logger
-	maxLinks  int
-	idleTime  time.Duration
-	quietTime time.Duration
-	probes    Probes
-	stopped   chan struct{}
-	secrets   []string
-	maxConns  int
-	handlers  map[Kind]handler
-	workers   loops.Workers
-
-	sent     atomic.Uint64
-	received atomic.Uint64
-	counts   [Kinds]byteCount
+	engine           *loops.Engine
+	address          netip.AddrPort
+	maxFrame         int
+	dialTimeout      time.Duration
+	handshakeTimeout time.Duration
+	logger           Logger
+	maxLinks         int
+	idleTimeout      time.Duration
+	silenceTimeout   time.Duration
+	probes           Probes
+	stopped          chan struct{}
+	secrets          []string
+	maxConns         int
+	handlers         map[Kind]handler
+	workers          loops.Workers
+
+	bytesSent     atomic.Uint64
+	bytesReceived atomic.Uint64
+	bytesByKind   [Kinds]byteCounter
 
 	mu    sync.Mutex
-	links map[lane]*link
-	dials map[lane]*dialing
-	all   map[*nbio.Conn]*link
+	links map[linkKey]*link
+	dials map[linkKey]*dialing
+	conns map[*nbio.Conn]*link
 }
 
-// lane is one connection to a peer. Requests that are handed on have one of
-// their own, so that large bodies on it don't hold up leases and digests.
-type lane struct {
-	to    netip.AddrPort
-	calls bool
+// linkKey identifies one of the two connections to a peer. Forwarded requests have
+// their own, so that their large bodies don't delay leases and digests.
+type linkKey struct {
+	to         netip.AddrPort
+	forwarding bool
 }
 
-func laneOf(to netip.AddrPort, k Kind) lane {
-	return lane{to: to, calls: k == KindCall || k == KindOnce || k == KindRun}
+func linkKeyOf(to netip.AddrPort, k Kind) linkKey {
+	return linkKey{to: to, forwarding: k == KindCall || k == KindOnce || k == KindRun}
 }
 
 type handler func(ctx context.Context, from netip.AddrPort, payload []byte) ([]byte, error)
 
-// Option sets one property of a node.
+// Option configures a node.
 type Option func(*Node)
 
 const (
-	defaultMaxFrame = 80 << 20
-	defaultDialTime = 500 * time.Millisecond
-	defaultMaxConns = 8192
-	// defaultQuietTime is longer than any answer takes that waits for nothing but the network, and as long as a digest may take.
-	defaultQuietTime = time.Second
-	// defaultGreetTime bounds how long a connection may take to prove that it is a peer's.
-	defaultGreetTime = 2 * time.Second
+	defaultMaxFrame    = 80 << 20
+	defaultDialTimeout = 500 * time.Millisecond
+	defaultMaxConns    = 8192
+	// defaultSilenceTimeout is longer than any response takes that waits only for the network, and as long as a digest may take.
+	defaultSilenceTimeout = time.Second
+	// defaultHandshakeTimeout bounds how long an accepted connection may take for its handshake.
+	defaultHandshakeTimeout = 2 * time.Second
 )
 
-// WithMaxFrame bounds the size of one frame in bytes.
+// WithMaxFrame bounds the size of one frame in bytes, without its length prefix.
 func WithMaxFrame(bytes int) Option { return func(n *Node) { n.maxFrame = bytes } }
 
-// WithDialTimeout bounds the time to open a connection.
-func WithDialTimeout(d time.Duration) Option { return func(n *Node) { n.dialTime = d } }
+// WithDialTimeout bounds the time to connect and, separately, the time for the handshake.
+func WithDialTimeout(d time.Duration) Option { return func(n *Node) { n.dialTimeout = d } }
 
-// WithLogger sets who hears of faulty connections.
+// WithLogger sets the logger for connections closed because of a fault.
 func WithLogger(l Logger) Option { return func(n *Node) { n.logger = l } }
 
-// WithSecrets sets the fleet's secrets: the first is used towards others, all are accepted from them.
+// WithSecrets sets the fleet's secrets: the first is used for dialing, all are accepted from other nodes.
 func WithSecrets(secrets ...string) Option {
 	return func(n *Node) {
 		if len(secrets) > 0 {
@@ -94,27 +94,27 @@
 	}
 }
 
-// WithMaxConns bounds the open connections, both those of peers and those not yet proved to be.
+// WithMaxConns bounds the number of open connections, including those that have not completed the handshake.
 func WithMaxConns(count int) Option { return func(n *Node) { n.maxConns = count } }
 
-// New returns a node that will listen on the address; handlers are added before Start.
+// New returns a node that will listen on the address; handlers must be added before Start.
 func New(address netip.AddrPort, opts ...Option) *Node {
 	n := &Node{
-		address:   address,
-		maxFrame:  defaultMaxFrame,
-		dialTime:  defaultDialTime,
-		greetTime: defaultGreetTime,
-		maxLinks:  defaultMaxLinks,
-		idleTime:  defaultIdleTime,
-		quietTime: defaultQuietTime,
-		stopped:   make(chan struct{}),
-		logger:    func(netip.AddrPort, error) {},
-		secrets:   []string{noSecret},
-		maxConns:  defaultMaxConns,
-		handlers:  map[Kind]handler{},
-		links:     map[lane]*link{},
-		dials:     map[lane]*dialing{},
-		all:       map[*nbio.Conn]*link{},
+		address:          address,
+		maxFrame:         defaultMaxFrame,
+		dialTimeout:      defaultDialTimeout,
+		handshakeTimeout: defaultHandshakeTimeout,
+		maxLinks:         defaultMaxLinks,
+		idleTimeout:      defaultIdleTimeout,
+		silenceTimeout:   defaultSilenceTimeout,
+		stopped:          make(chan struct{}),
+		logger:           func(netip.AddrPort, error) {},
+		secrets:          []string{noSecret},
+		maxConns:         defaultMaxConns,
+		handlers:         map[Kind]handler{},
+		links:            map[linkKey]*link{},
+		dials:            map[linkKey]*dialing{},
+		conns:            map[*nbio.Conn]*link{},
 	}
 	for _, opt := range opts {
 		opt(n)
@@ -122,23 +122,23 @@
 	return n
 }
 
-// Start listens and serves until Stop.
+// Start listens and serves connections until Stop.
 func (n *Node) Start() error {
-	config := nbio.Config{Name: "peer", Network: "tcp", Addrs: []string{n.address.String()}, NPoller: pollers}
-	n.engine = loops.New(config, loops.Handlers{Open: n.opened, Data: n.data, Close: n.closed})
-	n.engine.OnWrittenSize(written)
+	config := nbio.Config{Name: "peer", Network: "tcp", Addrs: []string{n.address.String()}, NPoller: pollerCount}
+	n.engine = loops.New(config, loops.Handlers{Open: n.handleOpen, Data: n.handleData, Close: n.handleClose})
+	n.engine.OnWrittenSize(handleWritten)
 	if err := n.engine.Start(); err != nil {
 		return errors.Wrapf(err, "peer: listen on %s", n.address)
 	}
-	go n.sweep()
+	go n.closeIdleLinks()
 	if n.probes.Limit > 0 {
-		go n.probe()
+		go n.probeLinks()
 	}
 	return nil
 }
 
-// pollers is the number of event loops: frames are small, handlers run elsewhere.
-const pollers = 2
+// pollerCount is the number of event loops; two suffice, since frames are small and handlers run on other goroutines.
+const pollerCount = 2
 
 // Stop closes all connections and the listener.
 func (n *Node) Stop() {
@@ -149,9 +149,9 @@
 
 // Traffic returns the bytes sent and received since the start.
 func (n *Node) Traffic() Traffic {
-	t := Traffic{Bytes: Bytes{Sent: n.sent.Load(), Received: n.received.Load()}}
+	t := Traffic{Bytes: Bytes{Sent: n.bytesSent.Load(), Received: n.bytesReceived.Load()}}
 	for k := range t.ByKind {
-		t.ByKind[k] = Bytes{Sent: n.counts[k].sent.Load(), Received: n.counts[k].received.Load()}
+		t.ByKind[k] = Bytes{Sent: n.bytesByKind[k].sent.Load(), Received: n.bytesByKind[k].received.Load()}
 	}
 	return t
 }
@@ -160,64 +160,64 @@
 func (n *Node) Connections() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.all)
+	return len(n.conns)
 }
 
-// opened takes a connection from outside; a flood of them is bounded in number
-// and, until they have proved to be peers, in time.
-func (n *Node) opened(c *nbio.Conn) {
-	if n.linkOf(c).greet.done {
+// handleOpen bounds accepted connections, so that a flood of them does no harm: in number
+// and, until their handshake is complete, in time.
+func (n *Node) handleOpen(c *nbio.Conn) {
+	if n.linkOf(c).handshake.done {
 		return
 	}
 	if n.Connections() > n.maxConns {
 		_ = c.CloseWithError(errTooMany)
 		return
 	}
-	_ = c.SetReadDeadline(time.Now().Add(n.greetTime))
+	_ = c.SetReadDeadline(time.Now().Add(n.handshakeTimeout))
 }
 
-var errTooMany = errors.New("peer: too many connections")
+var errTooMany = errors.New("peer: maximum number of open connections exceeded")
 
-// written hears of what went to the kernel; it runs under the connection's lock.
-func written(c *nbio.Conn, _ []byte, bytes int) {
+// handleWritten is called with the number of bytes written to the kernel, under the connection's lock.
+func handleWritten(c *nbio.Conn, _ []byte, bytes int) {
 	if l, ok := c.Session().(*link); ok {
-		l.wrote(bytes)
+		l.addWritten(bytes)
 	}
 }
 
-// linkOf returns the connection's link, making it on first sight. A connection
-// that was dialed has one before the poller knows it, and has its handshake behind it.
+// linkOf returns the connection's link, creating it on the first call. A dialed
+// connection has one, with a complete handshake, before it is added to the poller.
 func (n *Node) linkOf(c *nbio.Conn) *link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l, ok := n.all[c]
+	l, ok := n.conns[c]
 	if !ok {
 		l = newLink(n, c)
-		n.all[c] = l
+		n.conns[c] = l
 		c.SetSession(l)
 	}
 	return l
 }
 
-func (n *Node) data(c *nbio.Conn, data []byte) {
-	n.received.Add(uint64(len(data)))
+func (n *Node) handleData(c *nbio.Conn, data []byte) {
+	n.bytesReceived.Add(uint64(len(data)))
 	l := n.linkOf(c)
-	if err := l.data(data); err != nil {
+	if err := l.receive(data); err != nil {
 		n.logger(l.remote, err)
 		_ = c.CloseWithError(err)
 	}
 	loops.Yield()
 }
 
-func (n *Node) closed(c *nbio.Conn, _ error) {
+func (n *Node) handleClose(c *nbio.Conn, _ error) {
 	n.mu.Lock()
-	l := n.all[c]
-	delete(n.all, c)
+	l := n.conns[c]
+	delete(n.conns, c)
 	if l != nil {
-		n.unlink(l)
+		n.removeLink(l)
 	}
 	n.mu.Unlock()
 	if l != nil {
-		l.fail()
+		l.endCalls()
 	}
 }
--- a/internal/wire/peer/outbox_test.go
+++ b/internal/wire/peer/outbox_test.go
@@ -8,18 +8,17 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestSentFramesAreLetGo(t *testing.T) {
-	// A daemon hands out a megabyte list over each of its connections while others start. The queue of a
-	// connection kept the last frame that had left by it, so the memory of a daemon that was
-	// asked by six others stayed six megabytes higher for as long as they were connected.
+func TestOutboxReleasesSentFrames(t *testing.T) {
+	// A removed frame that stays in the backing array of the queue is not collected for as long as the
+	// connection lives: after sending a list of 1 MB to six peers, a daemon held 6 MB more.
 	cases := []struct {
 		name    string
 		frames  int
 		dropped bool
 	}{
 		{"one frame", 1, false},
-		{"two in turn", 2, false},
-		{"one given up before its turn", 1, true},
+		{"two frames", 2, false},
+		{"one frame dropped before it is sent", 1, true},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
@@ -33,8 +32,8 @@
 					box.drop(o)
 				}
 			}
-			for o, _ := box.turn(1 << 20); o != nil; o, _ = box.turn(1 << 20) {
-				box.done(o, true)
+			for o, _ := box.next(1 << 20); o != nil; o, _ = box.next(1 << 20) {
+				box.pieceSent(o, true)
 			}
 			runtime.GC()
 			for _, f := range frames {
--- a/internal/wire/peer/peer_test.go
+++ b/internal/wire/peer/peer_test.go
@@ -16,18 +16,18 @@
 	"github.com/foxtailhook/foxtailhook/internal/proof/loopback"
 )
 
-type question struct {
+type message struct {
 	Text string `msgpack:"text"`
 }
 
-// patient gives connections so long to open that no verdict depends on how fast the machine is.
-func patient(n *Node) { n.dialTime, n.greetTime = patience, patience }
+// withLongTimeouts sets dial and handshake timeouts so long that no test result depends on the machine's speed.
+func withLongTimeouts(n *Node) { n.dialTimeout, n.handshakeTimeout = testTimeout, testTimeout }
 
-func startPair(t *testing.T, answer func(context.Context, netip.AddrPort, question) question, opts ...Option) (client *Node, server netip.AddrPort) {
+func startPair(t *testing.T, respond func(context.Context, netip.AddrPort, message) message, opts ...Option) (client *Node, server netip.AddrPort) {
 	server = loopback.Address()
-	opts = append([]Option{patient}, opts...)
+	opts = append([]Option{withLongTimeouts}, opts...)
 	s := New(server, opts...)
-	Handle(s, KindCall, answer)
+	Handle(s, KindCall, respond)
 	client = New(loopback.Address(), opts...)
 	for _, n := range []*Node{s, client} {
 		if err := n.Start(); err != nil {
@@ -38,40 +38,40 @@
 	return client, server
 }
 
-func TestCallsInFlightTogether(t *testing.T) {
-	client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, q question) question {
-		if len(q.Text) == 1 {
+func TestConcurrentCallsOnOneLink(t *testing.T) {
+	client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, m message) message {
+		if len(m.Text) == 1 {
 			time.Sleep(20 * time.Millisecond)
 		}
-		return q
+		return m
 	})
-	Convey("Answers that arrive out of order reach their own calls", t, func() {
+	Convey("Responses that arrive out of order reach their own calls", t, func() {
 		var all sync.WaitGroup
-		crossed := make(chan string, 200)
+		mismatches := make(chan string, 200)
 		for _, text := range []string{"a", "bb", "c", "dd"} {
 			for range 50 {
 				all.Go(func() {
-					back, err := Call[question, question](t.Context(), client, server, KindCall, question{text})
-					if err != nil || back.Text != text {
-						crossed <- fmt.Sprintf("%s/%s: %v", text, back.Text, err)
+					reply, err := Call[message, message](t.Context(), client, server, KindCall, message{text})
+					if err != nil || reply.Text != text {
+						mismatches <- fmt.Sprintf("%s/%s: %v", text, reply.Text, err)
 					}
 				})
 			}
 		}
 		all.Wait()
-		close(crossed)
-		for wrong := range crossed {
-			So(wrong, ShouldBeEmpty)
+		close(mismatches)
+		for mismatch := range mismatches {
+			So(mismatch, ShouldBeEmpty)
 		}
 	})
 }
 
-func TestManyCallsOpenOneConnection(t *testing.T) {
-	// A link to a host is lost while hundreds of requests for it come in. Each
-	// opens a connection of its own, the host is busy with their handshakes, and
-	// on a loaded machine some requests are refused because theirs took too long.
-	client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, q question) question { return q })
-	Convey("Calls that come while a connection is being opened wait for it", t, func() {
+func TestConcurrentCallsShareOneDial(t *testing.T) {
+	// A link is lost while hundreds of requests need it. If each dialed a connection of its own,
+	// the host would be busy with their handshakes, and on a loaded machine some
+	// requests would be refused because theirs timed out.
+	client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, m message) message { return m })
+	Convey("Calls that start while a connection is being opened wait for it", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer func() { _ = l.Close() }()
@@ -80,7 +80,7 @@
 		var all sync.WaitGroup
 		for range 200 {
 			all.Go(func() {
-				_, err := Call[question, question](t.Context(), client, netip.MustParseAddrPort(l.Addr().String()), KindCall, question{"x"})
+				_, err := Call[message, message](t.Context(), client, netip.MustParseAddrPort(l.Addr().String()), KindCall, message{"x"})
 				if err != nil {
 					t.Error(err)
 				}
@@ -91,7 +91,7 @@
 	})
 }
 
-// relay passes connections on and counts them.
+// relay forwards connections and counts them.
 func relay(l net.Listener, to netip.AddrPort, opened *atomic.Int64) {
 	for {
 		near, err := l.Accept()
@@ -109,36 +109,36 @@
 }
 
 func TestCancelledCallStopsTheHandler(t *testing.T) {
-	// A caller hangs up while its request waits at another host. Unless the
-	// word travels, that host goes on working for nobody.
+	// A caller hangs up while another host runs its request. Unless the
+	// cancellation is forwarded, that host goes on working for nothing.
 	begun, stopped := make(chan struct{}), make(chan struct{})
-	client, server := startPair(t, func(ctx context.Context, _ netip.AddrPort, q question) question {
+	client, server := startPair(t, func(ctx context.Context, _ netip.AddrPort, m message) message {
 		close(begun)
 		<-ctx.Done()
 		close(stopped)
-		return q
+		return m
 	})
-	Convey("The handler's context ends with the caller's", t, func() {
+	Convey("The handler's context is cancelled with the caller's", t, func() {
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
 			<-begun
 			cancel()
 		}()
-		_, err := Call[question, question](ctx, client, server, KindCall, question{"x"})
+		_, err := Call[message, message](ctx, client, server, KindCall, message{"x"})
 		So(err, ShouldEqual, context.Canceled)
 		<-stopped
 	})
 }
 
-func TestNobodyListens(t *testing.T) {
-	client, _ := startPair(t, func(_ context.Context, _ netip.AddrPort, q question) question { return q })
-	Convey("A call that could not be sent says so", t, func() {
-		_, err := Call[question, question](t.Context(), client, loopback.Address(), KindCall, question{"x"})
+func TestCallToClosedPort(t *testing.T) {
+	client, _ := startPair(t, func(_ context.Context, _ netip.AddrPort, m message) message { return m })
+	Convey("A call to a port on which nothing listens fails with ErrNotSent", t, func() {
+		_, err := Call[message, message](t.Context(), client, loopback.Address(), KindCall, message{"x"})
 		So(err, ShouldWrap, ErrNotSent)
 	})
 }
 
-// breakingPeer greets as a peer does, reads up to some bytes of what follows and closes the connection.
+// breakingPeer completes the handshake, reads up to the given number of bytes and closes the connection.
 func breakingPeer(t *testing.T, reads int64) netip.AddrPort {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -151,30 +151,30 @@
 			if err != nil {
 				return
 			}
-			breakAfter(conn, reads)
+			closeAfterReading(conn, reads)
 		}
 	}()
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-func breakAfter(conn net.Conn, reads int64) {
+func closeAfterReading(conn net.Conn, reads int64) {
 	defer func() { _ = conn.Close() }()
-	g := greeting{secrets: []string{noSecret}}
+	h := listenerHandshake{secrets: []string{noSecret}}
 	buffer := make([]byte, 1)
-	for !g.done {
+	for !h.done {
 		if _, err := conn.Read(buffer); err != nil {
 			return
 		}
-		if _, err := g.feed(buffer, func(out []byte) { _, _ = conn.Write(out) }); err != nil {
+		if _, err := h.feed(buffer, func(out []byte) { _, _ = conn.Write(out) }); err != nil {
 			return
 		}
 	}
 	_, _ = io.CopyN(io.Discard, conn, reads)
 }
 
-// onTheWire returns how many bytes a request takes on its connection.
-func onTheWire(q question) int64 {
-	payload, err := encode(q)
+// wireSize returns how many bytes a request takes on the connection.
+func wireSize(m message) int64 {
+	payload, err := encode(m)
 	So(err, ShouldBeNil)
 	request := frame{form: formRequest, kind: KindCall, payload: payload}
 	if len(payload) <= pieceSize {
@@ -183,10 +183,10 @@
 	return int64(len(inPieces(request, 1, pieceSize)))
 }
 
-func TestConnectionBreaksInTheMiddle(t *testing.T) {
-	// A connection to a peer breaks while a request is on it. A campaign file
-	// of which only a part had left can't have been run, and its maker may send
-	// it again at once; of one that had left whole nobody can tell.
+func TestConnectionClosedDuringCall(t *testing.T) {
+	// A connection breaks while a request is in flight. A request of which only a part was sent
+	// can't have run, and its caller may retry at once; whether one that was
+	// sent whole has run is unknown.
 	const whole, large = 0, 32 << 20
 	cases := []struct {
 		name  string
@@ -194,36 +194,36 @@
 		reads int64
 		want  error
 	}{
-		{"a large request that left in part", large, 1 << 20, ErrNotSent},
-		{"a large request that left whole", large, whole, ErrLost},
-		{"a small request that left whole", 100, whole, ErrLost},
-		{"a small request of which a byte was read", 100, 1, ErrLost},
+		{"a large request sent in part", large, 1 << 20, ErrNotSent},
+		{"a large request sent whole", large, whole, ErrLost},
+		{"a small request sent whole", 100, whole, ErrLost},
+		{"a small request of which one byte was read", 100, 1, ErrLost},
 	}
-	client := New(loopback.Address(), patient)
+	client := New(loopback.Address(), withLongTimeouts)
 	if err := client.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(client.Stop)
-	Convey("Not sent is said only of a request that did not leave whole", t, func() {
+	Convey("ErrNotSent is returned only for a request that was not sent whole", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				request := question{string(make([]byte, c.bytes))}
+				request := message{string(make([]byte, c.bytes))}
 				reads := c.reads
 				if reads == whole {
-					reads = onTheWire(request)
+					reads = wireSize(request)
 				}
 				peer := breakingPeer(t, reads)
-				_, err := Call[question, question](t.Context(), client, peer, KindCall, request)
+				_, err := Call[message, message](t.Context(), client, peer, KindCall, request)
 				So(err, ShouldWrap, c.want)
 			})
 		}
 	})
 }
 
-// A host is cut off in such a way that connections to it hang. A request that
-// asks it for a token could ask the next home, but waits until the connection is given up,
-// and its caller is refused although it is inside its rate.
-func TestCallGivesUpOnAHangingConnection(t *testing.T) {
+// A host is unreachable in such a way that dialing it hangs. A request that needs a rate token
+// could ask the next home; if it waited for the dial to time out instead, its caller
+// would be refused though it is within its rate.
+func TestCallContextEndsDuringDial(t *testing.T) {
 	Convey("A call ends with its context while the connection is still being opened", t, func() {
 		l, err := net.Listen("tcp", loopback.Address().String())
 		So(err, ShouldBeNil)
@@ -233,7 +233,7 @@
 		defer client.Stop()
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		defer cancel()
-		_, err = Call[question, question](ctx, client, netip.MustParseAddrPort(l.Addr().String()), KindLease, question{"a"})
+		_, err = Call[message, message](ctx, client, netip.MustParseAddrPort(l.Addr().String()), KindLease, message{"a"})
 		So(err, ShouldWrap, ErrNotSent)
 		So(err.Error(), ShouldContainSubstring, context.DeadlineExceeded.Error())
 	})
--- a/internal/wire/peer/pieces_test.go
+++ b/internal/wire/peer/pieces_test.go
@@ -15,9 +15,9 @@
 	"pgregory.net/rapid"
 )
 
-// inPieces returns the bytes of a frame that goes in pieces of a size.
+// inPieces returns the encoding of a frame in pieces of the given payload size.
 func inPieces(f frame, stream uint64, size int) []byte {
-	out := f.appendOpen(nil, stream)
+	out := f.appendAnnouncement(nil, stream)
 	for rest := f.payload; len(rest) > 0; {
 		n := min(size, len(rest))
 		piece := frame{form: formPiece, id: stream, payload: rest[:n]}
@@ -27,84 +27,84 @@
 	return out
 }
 
-func TestPiecesAreJoined(t *testing.T) {
-	// Two campaign files arrive in pieces between each other, and one of their
-	// senders gives up. A mixed-up piece would be in the wrong file.
+func TestPiecesAreReassembled(t *testing.T) {
+	// The pieces of several large frames arrive interleaved, and some senders give up.
+	// A piece assigned to the wrong stream would corrupt another request's body.
 	rapid.Check(t, func(t *rapid.T) {
-		type sending struct {
+		type partlySent struct {
 			frame  frame
-			left   []byte
+			rest   []byte
 			opened bool
 		}
-		var turns []*sending
+		var unfinished []*partlySent
 		for i := range rapid.IntRange(1, 5).Draw(t, "frames") {
 			payload := rapid.SliceOfN(rapid.Byte(), 1, 40).Draw(t, "payload")
-			turns = append(turns, &sending{frame: frame{form: formRequest, kind: KindCall, id: uint64(i + 1), payload: payload}, left: payload})
+			unfinished = append(unfinished, &partlySent{frame: frame{form: formRequest, kind: KindCall, id: uint64(i + 1), payload: payload}, rest: payload})
 		}
-		r := reader{maxFrame: 1000}
+		r := frameReader{maxFrame: 1000}
 		want, got := map[uint64]string{}, map[uint64]string{}
 		feed := func(f frame, head []byte) {
 			if err := r.feed(f.append(head), func(f frame) { got[f.id] = string(f.payload) }); err != nil {
 				t.Fatal(err)
 			}
 		}
-		for len(turns) > 0 {
-			i := rapid.IntRange(0, len(turns)-1).Draw(t, "turn")
-			s := turns[i]
+		for len(unfinished) > 0 {
+			i := rapid.IntRange(0, len(unfinished)-1).Draw(t, "turn")
+			s := unfinished[i]
 			stream := 100 + s.frame.id
 			if s.opened && rapid.IntRange(0, 9).Draw(t, "drops") == 0 {
 				feed(frame{form: formDrop, id: stream}, nil)
-				turns = append(turns[:i], turns[i+1:]...)
+				unfinished = append(unfinished[:i], unfinished[i+1:]...)
 				continue
 			}
 			var head []byte
 			if !s.opened {
-				head = s.frame.appendOpen(nil, stream)
+				head = s.frame.appendAnnouncement(nil, stream)
 				s.opened = true
 			}
-			n := rapid.IntRange(1, len(s.left)).Draw(t, "size")
-			feed(frame{form: formPiece, id: stream, payload: s.left[:n]}, head)
-			if s.left = s.left[n:]; len(s.left) == 0 {
+			n := rapid.IntRange(1, len(s.rest)).Draw(t, "size")
+			feed(frame{form: formPiece, id: stream, payload: s.rest[:n]}, head)
+			if s.rest = s.rest[n:]; len(s.rest) == 0 {
 				want[s.frame.id] = string(s.frame.payload)
-				turns = append(turns[:i], turns[i+1:]...)
+				unfinished = append(unfinished[:i], unfinished[i+1:]...)
 			}
 		}
-		if len(got) != len(want) || r.pieces.bytes != 0 || len(r.pieces.open) != 0 {
-			t.Fatalf("%d whole, not %d; %d bytes of %d frames are left", len(got), len(want), r.pieces.bytes, len(r.pieces.open))
+		if len(got) != len(want) || r.assembler.announcedBytes != 0 || len(r.assembler.streams) != 0 {
+			t.Fatalf("%d frames completed, want %d; %d bytes of %d streams are left, want none", len(got), len(want), r.assembler.announcedBytes, len(r.assembler.streams))
 		}
 		for id := range want {
 			if got[id] != want[id] {
-				t.Fatalf("frame %d is %q, not %q", id, got[id], want[id])
+				t.Fatalf("frame %d has payload %q, want %q", id, got[id], want[id])
 			}
 		}
 	})
 }
 
 func TestPiecesOutOfBounds(t *testing.T) {
-	// A peer that is broken announces more than it may send, or pieces of
-	// nothing. Taken at its word it would take the memory of the host.
+	// A faulty peer announces more than the maximum frame size, or sends pieces that don't fit
+	// their stream. Without the bounds it could exhaust the host's memory.
 	one := frame{form: formRequest, kind: KindCall, id: 7, payload: make([]byte, 60)}
 	nested := frame{form: formOpen, kind: KindCall, id: 7, payload: make([]byte, 60)}
 	piece := frame{form: formPiece, id: 1, payload: []byte("x")}
-	long := frame{form: formPiece, id: 1, payload: make([]byte, 61)}
-	none := frame{form: formPiece, id: 1}
+	oversized := frame{form: formPiece, id: 1, payload: make([]byte, 61)}
+	empty := frame{form: formPiece, id: 1}
 	cases := []struct {
 		name   string
 		stream []byte
 		want   error
 	}{
-		{"more at once than one frame may have", append(one.appendOpen(nil, 1), one.appendOpen(nil, 2)...), errFrameSize},
-		{"a stream opened twice", append(one.appendOpen(nil, 1), one.appendOpen(nil, 1)...), errFrameForm},
-		{"a piece of nothing", piece.encode(), errFrameForm},
-		{"a piece longer than what is missing", long.append(one.appendOpen(nil, 1)), errFrameSize},
-		{"an empty piece", none.append(one.appendOpen(nil, 1)), errFrameSize},
-		{"pieces within pieces", nested.appendOpen(nil, 1), errFrameForm},
-		{"a large frame in one piece", (&frame{form: formRequest, payload: make([]byte, pieceSize+1)}).encode(), errFrameSize},
+		{"two streams that exceed the maximum frame size together", append(one.appendAnnouncement(nil, 1), one.appendAnnouncement(nil, 2)...), errFrameSize},
+		{"a stream opened twice", append(one.appendAnnouncement(nil, 1), one.appendAnnouncement(nil, 1)...), errFrameForm},
+		{"a piece of an unknown stream", piece.encode(), errFrameForm},
+		{"a piece longer than the missing bytes", oversized.append(one.appendAnnouncement(nil, 1)), errFrameSize},
+		{"an empty piece", empty.append(one.appendAnnouncement(nil, 1)), errFrameSize},
+		{"a formOpen frame in pieces", nested.appendAnnouncement(nil, 1), errFrameForm},
+		{"a large frame that is not in pieces", (&frame{form: formRequest, payload: make([]byte, pieceSize+1)}).encode(), errFrameSize},
 	}
-	Convey("The connection ends", t, func() {
+	Convey("The reader returns an error, which closes the connection", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				r := reader{maxFrame: 100}
+				r := frameReader{maxFrame: 100}
 				if len(c.stream) > pieceSize {
 					r.maxFrame = 1 << 20
 				}
@@ -114,19 +114,19 @@
 	})
 }
 
-// narrow is a way to a peer that lets some bytes through and the rest only when it is opened.
-type narrow struct {
+// pausingProxy forwards one connection to a peer, pausing after some bytes until resumed is closed.
+type pausingProxy struct {
 	address netip.AddrPort
 	passed  atomic.Int64
-	opened  chan struct{}
+	resumed chan struct{}
 }
 
-func newNarrow(t *testing.T, to netip.AddrPort, bytes int64) *narrow {
+func newPausingProxy(t *testing.T, to netip.AddrPort, pauseAfter int64) *pausingProxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &narrow{address: netip.MustParseAddrPort(l.Addr().String()), opened: make(chan struct{})}
+	p := &pausingProxy{address: netip.MustParseAddrPort(l.Addr().String()), resumed: make(chan struct{})}
 	go func() {
 		near, err := l.Accept()
 		_ = l.Close()
@@ -138,75 +138,74 @@
 			return
 		}
 		go func() { _, _ = io.Copy(near, far) }()
-		n.pass(far, near, bytes)
-		<-n.opened
-		n.pass(far, near, math.MaxInt64)
+		p.copyUpTo(far, near, pauseAfter)
+		<-p.resumed
+		p.copyUpTo(far, near, math.MaxInt64)
 		_ = far.Close()
 	}()
 	t.Cleanup(func() { _ = l.Close() })
-	return n
+	return p
 }
 
-func (n *narrow) pass(to io.Writer, from io.Reader, bytes int64) {
+func (p *pausingProxy) copyUpTo(to io.Writer, from io.Reader, bytes int64) {
 	buffer := make([]byte, pieceSize)
-	for n.passed.Load() < bytes {
+	for p.passed.Load() < bytes {
 		read, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
 		_, _ = to.Write(buffer[:read])
-		n.passed.Add(int64(read))
+		p.passed.Add(int64(read))
 	}
 }
 
-// await waits until some bytes have passed.
-func (n *narrow) await(bytes int64) {
-	for n.passed.Load() < bytes {
+// awaitPassed waits until the given number of bytes has been forwarded.
+func (p *pausingProxy) awaitPassed(bytes int64) {
+	for p.passed.Load() < bytes {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// patience bounds a wait that should be short, so that a test fails rather than hangs.
-const patience = time.Minute
+// testTimeout bounds waits that should be short, so that a test fails rather than hangs.
+const testTimeout = time.Minute
 
-func TestSmallCallOvertakesALargeOne(t *testing.T) {
-	// A maker's campaign file of 64 MB is handed on to a host, and a dealer's
-	// lookup for the same host comes right after it. The dealer waits for the
-	// whole file, though the lookup is a few bytes and the host has slots.
-	client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, q question) question {
-		return question{q.Text[:min(len(q.Text), 10)]}
+func TestSmallCallIsNotDelayedByLargeCall(t *testing.T) {
+	// A small request follows a 64 MB request to the same host. Sent after the whole
+	// body, it would wait for the transfer though the host has free slots.
+	client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, m message) message {
+		return message{m.Text[:min(len(m.Text), 10)]}
 	})
-	Convey("The small one is answered while most of the large one is on its way", t, func() {
-		n := newNarrow(t, server, 48<<20)
+	Convey("The small call completes while most of the large one is still being sent", t, func() {
+		proxy := newPausingProxy(t, server, 48<<20)
 		large := strings.Repeat("l", 64<<20)
 		done := make(chan error, 1)
 		go func() {
-			_, err := Call[question, question](t.Context(), client, n.address, KindCall, question{large})
+			_, err := Call[message, message](t.Context(), client, proxy.address, KindCall, message{large})
 			done <- err
 		}()
-		n.await(1 << 20)
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		proxy.awaitPassed(1 << 20)
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
-		back, err := Call[question, question](ctx, client, n.address, KindCall, question{"small"})
+		reply, err := Call[message, message](ctx, client, proxy.address, KindCall, message{"small"})
 		So(err, ShouldBeNil)
-		So(back.Text, ShouldEqual, "small")
+		So(reply.Text, ShouldEqual, "small")
 		So(done, ShouldBeEmpty)
-		close(n.opened)
+		close(proxy.resumed)
 		So(<-done, ShouldBeNil)
 	})
 }
 
-func TestLargeCallsTakeTurns(t *testing.T) {
-	// Several photo batches go to one host together, and all arrive as they were sent.
-	client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, q question) question { return q })
-	Convey("Each has its own bytes back", t, func() {
+func TestConcurrentLargeCalls(t *testing.T) {
+	// The pieces of several large requests and responses are interleaved on one connection.
+	client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, m message) message { return m })
+	Convey("Each call gets its own bytes back", t, func() {
 		failed := make(chan string, 8)
 		done := make(chan struct{}, 8)
 		for i := range 8 {
 			go func() {
 				text := strings.Repeat(string(rune('a'+i)), (i+1)*1_500_000)
-				back, err := Call[question, question](t.Context(), client, server, KindCall, question{text})
-				if err != nil || back.Text != text {
+				reply, err := Call[message, message](t.Context(), client, server, KindCall, message{text})
+				if err != nil || reply.Text != text {
 					failed <- text[:1]
 				}
 				done <- struct{}{}
@@ -219,30 +218,30 @@
 	})
 }
 
-func TestLargeCallGivenUpHalfway(t *testing.T) {
-	// A maker hangs up while half of its campaign file has been handed on. The
-	// half takes memory at the other host, and its rest the way there, for nobody.
+func TestLargeCallCancelledHalfway(t *testing.T) {
+	// A caller hangs up while a part of its large request has been sent. If the stream were not dropped,
+	// that part would hold memory at the other host, and the rest would be sent for nothing.
 	ran := make(chan string, 2)
-	client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, q question) question {
-		ran <- q.Text[:1]
-		return question{"done"}
+	client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, m message) message {
+		ran <- m.Text[:1]
+		return message{"done"}
 	})
-	Convey("It never runs, and the connection serves on", t, func() {
-		n := newNarrow(t, server, 2<<20)
+	Convey("The request never runs, and the connection remains usable", t, func() {
+		proxy := newPausingProxy(t, server, 2<<20)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() {
-			_, err := Call[question, question](ctx, client, n.address, KindCall, question{strings.Repeat("l", 64<<20)})
+			_, err := Call[message, message](ctx, client, proxy.address, KindCall, message{strings.Repeat("l", 64<<20)})
 			done <- err
 		}()
-		n.await(1 << 20)
+		proxy.awaitPassed(1 << 20)
 		cancel()
 		So(<-done, ShouldEqual, context.Canceled)
-		close(n.opened)
-		_, err := Call[question, question](t.Context(), client, n.address, KindCall, question{"small"})
+		close(proxy.resumed)
+		_, err := Call[message, message](t.Context(), client, proxy.address, KindCall, message{"small"})
 		So(err, ShouldBeNil)
 		So(<-ran, ShouldEqual, "s")
-		So(n.passed.Load(), ShouldBeLessThan, 64<<20)
+		So(proxy.passed.Load(), ShouldBeLessThan, 64<<20)
 		So(ran, ShouldBeEmpty)
 	})
 }
--- a/internal/wire/peer/probe.go
+++ b/internal/wire/peer/probe.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Probes are how a node finds links that have gone silent while calls wait on them.
+// Probes configures how a node detects links on which calls wait but nothing is received.
 //
-// A host is suspended, or a network box forgets its connections: what is sent goes nowhere, nobody closes anything, and a
-// lookup waits for an answer until its time is up though another host could give it. A link on
-// which calls wait and nothing is heard is asked for a sign of life, which a peer gives at once, however long its calls take.
+// When a host is suspended, or a firewall loses its connection state, what is sent is lost without the connection being
+// closed, and a call waits until its deadline though another host could respond. On a link on which calls wait and nothing
+// is received, the node sends a probe, to which a peer responds at once, however long its calls take.
 type Probes struct {
-	// After is how long nothing was heard when a sign of life is asked for.
+	// After is the silence after which probes are sent.
 	After time.Duration
-	// Limit is how long nothing was heard when the link is given up.
+	// Limit is the silence after which the link is taken out of use.
 	Limit time.Duration
 }
 
-// probeLooks is how often links are looked at within Probes.After.
-const probeLooks = 2
+// probeChecksPerAfter is how often links are checked within Probes.After.
+const probeChecksPerAfter = 2
 
-// WithProbes makes the node look for silent links; without, it finds them when a call on them has run out of time.
+// WithProbes enables probes; without them, a silent link is detected only when the context of a call on it ends.
 func WithProbes(p Probes) Option {
 	return func(n *Node) {
 		n.probes = p
@@ -29,9 +29,9 @@
 	}
 }
 
-// probe looks at the links until the node stops.
-func (n *Node) probe() {
-	ticker := time.NewTicker(n.probes.After / probeLooks)
+// probeLinks periodically checks the links until the node stops.
+func (n *Node) probeLinks() {
+	ticker := time.NewTicker(n.probes.After / probeChecksPerAfter)
 	defer ticker.Stop()
 	for {
 		select {
@@ -39,7 +39,7 @@
 			return
 		case now := <-ticker.C:
 			for _, l := range n.dialedLinks() {
-				n.look(l, now)
+				n.checkSilence(l, now)
 			}
 		}
 	}
@@ -48,36 +48,36 @@
 func (n *Node) dialedLinks() []*link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	all := make([]*link, 0, len(n.links))
+	links := make([]*link, 0, len(n.links))
 	for _, l := range n.links {
-		all = append(all, l)
+		links = append(links, l)
 	}
-	return all
+	return links
 }
 
-func (n *Node) look(l *link, now time.Time) {
-	switch quiet := l.quiet(now); {
-	case quiet >= n.probes.Limit:
-		l.silence.Do(func() { close(l.silenced) })
-		n.replace(l)
-	case quiet >= n.probes.After:
+func (n *Node) checkSilence(l *link, now time.Time) {
+	switch silentFor := l.silentFor(now); {
+	case silentFor >= n.probes.Limit:
+		l.silentOnce.Do(func() { close(l.silent) })
+		n.drainLink(l)
+	case silentFor >= n.probes.After:
 		payload, err := encode(struct{}{})
 		if err != nil {
 			return
 		}
-		// The answer's id is nobody's: that it comes is all that counts.
-		ask := frame{form: formRequest, kind: KindProbe, payload: payload}
-		_, _ = l.write(ask.encode(), nil)
+		// No call has id 0, so the response is discarded; its arrival updates lastReceived.
+		request := frame{form: formRequest, kind: KindProbe, payload: payload}
+		_, _ = l.write(request.encode(), nil)
 	}
 }
 
-// quiet is how long calls have waited on the link without anything being heard on it; 0 while none waits.
-func (l *link) quiet(now time.Time) time.Duration {
+// silentFor returns how long calls have waited on the link without anything being received; 0 while no call is pending.
+func (l *link) silentFor(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.waiting) == 0 {
+	if len(l.pendingCalls) == 0 {
 		return 0
 	}
-	since := max(l.heard.at.Load(), l.waits.at.Load())
+	since := max(l.lastReceived.unixNano.Load(), l.waitingSince.unixNano.Load())
 	return now.Sub(time.Unix(0, since))
 }
--- a/internal/wire/peer/probe_test.go
+++ b/internal/wire/peer/probe_test.go
@@ -10,40 +10,40 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestCallsOnSilentLinks(t *testing.T) {
+func TestCallUnlessSilent(t *testing.T) {
 	probes := func(limit time.Duration) Option {
 		return WithProbes(Probes{After: 20 * time.Millisecond, Limit: limit})
 	}
-	// A host is suspended with a lookup on it. The lookup's caller waits until its time is up, though another host
-	// could answer; a payment's caller would rather hear what became of it.
-	Convey("On a link that has gone silent, only calls that may be sent again end before their time", t, func() {
+	// A host is suspended while it runs requests. One that may be retried should fail early, so that another host
+	// can run it; one that may not should wait, since the host may still respond.
+	Convey("On a silent link, only calls by CallUnlessSilent end before their context", t, func() {
 		begun := make(chan struct{}, 2)
-		client, server := startPair(t, func(ctx context.Context, _ netip.AddrPort, q question) question {
+		client, server := startPair(t, func(ctx context.Context, _ netip.AddrPort, m message) message {
 			begun <- struct{}{}
 			<-ctx.Done()
-			return q
+			return m
 		}, probes(200*time.Millisecond))
-		wire, at := between(t, server)
+		proxy, proxyAddress := startFaultyProxy(t, server)
 		ended := make(chan error, 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
-			_, err := Call[question, question](ctx, client, at, KindCall, question{"once"})
+			_, err := Call[message, message](ctx, client, proxyAddress, KindCall, message{"once"})
 			ended <- err
 		}()
 		<-begun
-		wire.die()
-		_, err := CallUnlessSilent[question, question](t.Context(), client, at, KindCall, question{"again"})
+		proxy.blackholeOpen()
+		_, err := CallUnlessSilent[message, message](t.Context(), client, proxyAddress, KindCall, message{"again"})
 		So(errors.Is(err, ErrLost), ShouldBeTrue)
 		So(ended, ShouldBeEmpty)
 		cancel()
 		So(<-ended, ShouldEqual, context.Canceled)
 	})
-	Convey("A call that takes long on a link that is well goes on", t, func() {
-		client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, q question) question {
+	Convey("A slow call on a link that responds to probes completes", t, func() {
+		client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, m message) message {
 			time.Sleep(3 * time.Second)
-			return q
+			return m
 		}, probes(2*time.Second))
-		got, err := CallUnlessSilent[question, question](t.Context(), client, server, KindCall, question{"slow"})
+		got, err := CallUnlessSilent[message, message](t.Context(), client, server, KindCall, message{"slow"})
 		So(err, ShouldBeNil)
 		So(got.Text, ShouldEqual, "slow")
 	})
--- a/internal/wire/peer/silent_test.go
+++ b/internal/wire/peer/silent_test.go
@@ -14,21 +14,21 @@
 	"github.com/foxtailhook/foxtailhook/internal/proof/loopback"
 )
 
-// network stands between two nodes; it can swallow what is sent on the connections open so far.
-type network struct {
-	opened atomic.Int64
-	dead   atomic.Int64
+// faultyProxy forwards connections between two nodes; it can discard what is sent on those open so far.
+type faultyProxy struct {
+	opened     atomic.Int64
+	blackholed atomic.Int64
 }
 
-// between starts a network in front of a node and returns its address.
-func between(t *testing.T, to netip.AddrPort) (*network, netip.AddrPort) {
-	at := loopback.Address()
-	l, err := net.Listen("tcp", at.String())
+// startFaultyProxy starts a proxy to a node and returns the proxy's address.
+func startFaultyProxy(t *testing.T, to netip.AddrPort) (*faultyProxy, netip.AddrPort) {
+	address := loopback.Address()
+	l, err := net.Listen("tcp", address.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	w := &network{}
+	p := &faultyProxy{}
 	go func() {
 		for {
 			near, err := l.Accept()
@@ -39,25 +39,25 @@
 			if err != nil {
 				return
 			}
-			number := w.opened.Add(1)
-			go w.copy(near, far, number)
-			go w.copy(far, near, number)
+			number := p.opened.Add(1)
+			go p.copy(near, far, number)
+			go p.copy(far, near, number)
 		}
 	}()
-	return w, at
+	return p, address
 }
 
-// die swallows what comes on the connections open so far; nobody closes them.
-func (w *network) die() { w.dead.Store(w.opened.Load()) }
+// blackholeOpen discards what is sent on the connections open so far, without closing them.
+func (p *faultyProxy) blackholeOpen() { p.blackholed.Store(p.opened.Load()) }
 
-func (w *network) copy(to, from net.Conn, number int64) {
-	_, err := io.Copy(writerFunc(func(p []byte) (int, error) {
-		if number <= w.dead.Load() {
-			return len(p), nil
+func (p *faultyProxy) copy(to, from net.Conn, number int64) {
+	_, err := io.Copy(writerFunc(func(data []byte) (int, error) {
+		if number <= p.blackholed.Load() {
+			return len(data), nil
 		}
-		return to.Write(p)
+		return to.Write(data)
 	}), from)
-	if err != nil || number > w.dead.Load() {
+	if err != nil || number > p.blackholed.Load() {
 		_ = to.Close()
 	}
 }
@@ -66,30 +66,29 @@
 
 func (f writerFunc) Write(p []byte) (int, error) { return f(p) }
 
-func TestDroppedLinkInUse(t *testing.T) {
-	// A switch dies and the connections over it stay open. The digest to the host is lost,
-	// but some request or other always waits for its answer on the same connection. Were it
-	// kept for them, every notice would be handed into the hole, and go on being so after the switch was replaced.
-	Convey("A dropped link takes no new calls, those in flight end on it, and then it is closed", t, func() {
+func TestDroppedLinkFinishesCallsInFlight(t *testing.T) {
+	// A switch fails, and the connections through it stay open though nothing gets through. If a dropped link
+	// took new calls until it had none in flight, under load it would never be replaced, not even after the switch was.
+	Convey("A dropped link takes no new calls, completes those in flight, and then is closed", t, func() {
 		begun, release := make(chan struct{}), make(chan struct{})
-		client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, q question) question {
-			if q.Text == "slow" {
+		client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, m message) message {
+			if m.Text == "slow" {
 				close(begun)
 				<-release
 			}
-			return q
+			return m
 		})
-		wire, at := between(t, server)
+		proxy, proxyAddress := startFaultyProxy(t, server)
 		ended := make(chan error, 1)
 		go func() {
-			_, err := Call[question, question](t.Context(), client, at, KindCall, question{"slow"})
+			_, err := Call[message, message](t.Context(), client, proxyAddress, KindCall, message{"slow"})
 			ended <- err
 		}()
 		<-begun
-		client.Drop(at)
-		_, err := Call[question, question](t.Context(), client, at, KindCall, question{"next"})
+		client.Drop(proxyAddress)
+		_, err := Call[message, message](t.Context(), client, proxyAddress, KindCall, message{"next"})
 		So(err, ShouldBeNil)
-		So(wire.opened.Load(), ShouldEqual, 2)
+		So(proxy.opened.Load(), ShouldEqual, 2)
 		close(release)
 		So(<-ended, ShouldBeNil)
 		So(eventually(func() bool { return client.Connections() == 1 }), ShouldBeTrue)
@@ -97,51 +96,51 @@
 }
 
 func TestSilentLinkIsReplaced(t *testing.T) {
-	// A firewall loses its state: one connection is dead, which no one closes, and the digests on another go through. A
-	// host that looks well would get every notice over the dead one, and each would be answered as unknown.
-	Convey("A link on which a call ended without an answer, and nothing else was heard, takes no new calls", t, func() {
+	// A firewall loses its state: one connection is dead but stays open, while the digests on another get through, so that
+	// the host seems healthy. If the dead link were kept, every request on it would end with an unknown outcome.
+	Convey("A link on which a call ended without a response, and nothing else was received, takes no new calls", t, func() {
 		client, server := startPair(t, echo)
-		client.quietTime = 0
-		wire, at := between(t, server)
-		_, err := Call[question, question](t.Context(), client, at, KindCall, question{"before"})
+		client.silenceTimeout = 0
+		proxy, proxyAddress := startFaultyProxy(t, server)
+		_, err := Call[message, message](t.Context(), client, proxyAddress, KindCall, message{"before"})
 		So(err, ShouldBeNil)
-		wire.die()
+		proxy.blackholeOpen()
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
-		_, err = Call[question, question](ctx, client, at, KindCall, question{"lost"})
+		_, err = Call[message, message](ctx, client, proxyAddress, KindCall, message{"lost"})
 		So(err, ShouldEqual, context.DeadlineExceeded)
 		ctx, cancel = context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
-		_, err = Call[question, question](ctx, client, at, KindCall, question{"after"})
+		_, err = Call[message, message](ctx, client, proxyAddress, KindCall, message{"after"})
 		So(err, ShouldBeNil)
-		So(wire.opened.Load(), ShouldEqual, 2)
+		So(proxy.opened.Load(), ShouldEqual, 2)
 	})
-	Convey("A link on which others are answered meanwhile stays", t, func() {
+	Convey("A link on which other calls get responses meanwhile is kept", t, func() {
 		begun := make(chan struct{})
-		client, server := startPair(t, func(ctx context.Context, _ netip.AddrPort, q question) question {
-			if q.Text == "slow" {
+		client, server := startPair(t, func(ctx context.Context, _ netip.AddrPort, m message) message {
+			if m.Text == "slow" {
 				close(begun)
 				<-ctx.Done()
 			}
-			return q
+			return m
 		})
-		client.quietTime = 0
-		wire, at := between(t, server)
+		client.silenceTimeout = 0
+		proxy, proxyAddress := startFaultyProxy(t, server)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() {
-			_, err := Call[question, question](ctx, client, at, KindCall, question{"slow"})
+			_, err := Call[message, message](ctx, client, proxyAddress, KindCall, message{"slow"})
 			ended <- err
 		}()
 		<-begun
 		for range 3 {
-			_, err := Call[question, question](t.Context(), client, at, KindCall, question{"quick"})
+			_, err := Call[message, message](t.Context(), client, proxyAddress, KindCall, message{"quick"})
 			So(err, ShouldBeNil)
 		}
 		cancel()
 		So(<-ended, ShouldEqual, context.Canceled)
-		_, err := Call[question, question](t.Context(), client, at, KindCall, question{"quick"})
+		_, err := Call[message, message](t.Context(), client, proxyAddress, KindCall, message{"quick"})
 		So(err, ShouldBeNil)
-		So(wire.opened.Load(), ShouldEqual, 1)
+		So(proxy.opened.Load(), ShouldEqual, 1)
 	})
 }
--- a/internal/wire/peer/traffic.go
+++ b/internal/wire/peer/traffic.go
@@ -5,25 +5,25 @@
 	"sync/atomic"
 )
 
-// Bytes counts bytes between daemons, without those of TCP and IP.
+// Bytes counts bytes sent and received between daemons, without TCP and IP overhead.
 type Bytes struct {
 	Sent     uint64 `json:"sent"`
 	Received uint64 `json:"received"`
 }
 
-// Traffic is the bytes of all connections, and of whole frames by the kind of message; kind 0 has handshakes.
+// Traffic counts the bytes of all connections, and those of whole frames by kind; kind 0 counts handshakes and unknown kinds.
 type Traffic struct {
 	Bytes
 	ByKind [Kinds]Bytes
 }
 
-type byteCount struct {
+type byteCounter struct {
 	sent, received atomic.Uint64
 }
 
-// countSent counts what went out, each frame of it by its kind.
+// countSent counts sent bytes, each whole frame in them by its kind.
 func (n *Node) countSent(data []byte) {
-	n.sent.Add(uint64(len(data)))
+	n.bytesSent.Add(uint64(len(data)))
 	for len(data) > 0 {
 		kind, size := Kind(0), len(data)
 		if len(data) >= lengthSize+headerSize {
@@ -31,12 +31,12 @@
 				kind, size = Kind(data[lengthSize+1]), frame
 			}
 		}
-		n.counts[kindIndex(kind)].sent.Add(uint64(size))
+		n.bytesByKind[kindIndex(kind)].sent.Add(uint64(size))
 		data = data[size:]
 	}
 }
 
-// kindIndex returns the kind's place in the counts; a peer of another release may know kinds that this one doesn't.
+// kindIndex returns the kind's index in the counts, 0 for an unknown kind: a peer of another release may send kinds that this one doesn't know.
 func kindIndex(k Kind) int {
 	if int(k) < Kinds {
 		return int(k)
