--- a/internal/wire/upstream/client.go
+++ b/internal/wire/upstream/client.go
@@ -15,7 +15,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Names of the headers between daemon and upstream.
+// Names of HTTP headers between daemon and upstream.
 const (
 	HeaderOrganisation = "Foxtailhook-Organisation"
 	HeaderOperation    = "Foxtailhook-Operation"
@@ -26,112 +26,114 @@
 )
 
 // Client sends requests to one upstream, each at most once.
+//
+// Requests that are not idempotent have a transport of their own.
 type Client struct {
-	address   netip.AddrPort
-	once      *http.Transport
-	repeated  *http.Transport
-	onceIdle  time.Duration
-	maxAnswer int64
+	address              netip.AddrPort
+	nonIdempotent        *http.Transport
+	idempotent           *http.Transport
+	nonIdempotentMaxIdle time.Duration
+	maxResponse          int64
 }
 
 const (
-	dialTimeout = 500 * time.Millisecond
-	idleConns   = 512
-	idleTime    = 30 * time.Second
-	// defaultOnceIdle is below the idle timeouts that upstreams commonly have (2 s and more).
-	defaultOnceIdle = time.Second
-	defaultAnswer   = 64 << 20
+	dialTimeout       = 500 * time.Millisecond
+	maxIdleConns      = 512
+	idempotentMaxIdle = 30 * time.Second
+	// defaultNonIdempotentMaxIdle is below the idle timeouts that are common for upstreams (2 s and more).
+	defaultNonIdempotentMaxIdle = time.Second
+	defaultMaxResponse          = 64 << 20
 )
 
-// Option sets one property of a client.
+// Option configures a client.
 type Option func(*Client)
 
-// WithMaxAnswer bounds one answer's body in bytes.
-func WithMaxAnswer(bytes int64) Option { return func(c *Client) { c.maxAnswer = bytes } }
+// WithMaxAnswer bounds the size of a response body in bytes.
+func WithMaxAnswer(bytes int64) Option { return func(c *Client) { c.maxResponse = bytes } }
 
 // WithOnceIdle sets how long a connection may be idle before a request that is
-// not idempotent opens a new one instead; it belongs below the upstream's own idle timeout.
-func WithOnceIdle(d time.Duration) Option { return func(c *Client) { c.onceIdle = d } }
+// not idempotent opens a new one instead; it should be below the upstream's own idle timeout.
+func WithOnceIdle(d time.Duration) Option { return func(c *Client) { c.nonIdempotentMaxIdle = d } }
 
 // New returns a client for the upstream at the address.
 //
-// Requests that may not be repeated have connections of their own with a short
-// idle time: an upstream that closes an idle connection just as a request takes
-// it leaves that request's outcome unknown, and unlike an idempotent one it
-// can't be sent again. A connection for each would cost about 1 ms a request.
+// Requests that are not idempotent have connections of their own with a short
+// idle timeout: if the upstream closes an idle connection just as a request uses
+// it, the outcome of that request is unknown, and unlike an idempotent one it
+// can't be retried. A new connection for each would cost about 1 ms per request.
 func New(address netip.AddrPort, opts ...Option) *Client {
-	c := &Client{address: address, maxAnswer: defaultAnswer, onceIdle: defaultOnceIdle}
+	c := &Client{address: address, maxResponse: defaultMaxResponse, nonIdempotentMaxIdle: defaultNonIdempotentMaxIdle}
 	for _, opt := range opts {
 		opt(c)
 	}
-	c.once = newTransport(c.onceIdle)
-	c.repeated = newTransport(idleTime)
+	c.nonIdempotent = newTransport(c.nonIdempotentMaxIdle)
+	c.idempotent = newTransport(idempotentMaxIdle)
 	return c
 }
 
-func newTransport(idle time.Duration) *http.Transport {
+func newTransport(maxIdle time.Duration) *http.Transport {
 	return &http.Transport{
-		DialContext:         counted((&net.Dialer{Timeout: dialTimeout}).DialContext),
-		MaxIdleConnsPerHost: idleConns,
-		IdleConnTimeout:     idle,
+		DialContext:         countingDial((&net.Dialer{Timeout: dialTimeout}).DialContext),
+		MaxIdleConnsPerHost: maxIdleConns,
+		IdleConnTimeout:     maxIdle,
 		DisableCompression:  true,
 	}
 }
 
 func (c *Client) transport(r *call.Request) *http.Transport {
 	if r.Idempotent {
-		return c.repeated
+		return c.idempotent
 	}
-	return c.once
+	return c.nonIdempotent
 }
 
-// Do runs the request once; token lets the upstream make calls of its own on the request's behalf.
+// Do runs the request once; with the token, the upstream can make sub-calls on the request's behalf.
 func (c *Client) Do(ctx context.Context, r *call.Request, token string) call.Answer {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	sent := &proof{}
-	out, err := c.build(sent.trace(ctx), r, token, &once{Reader: bytes.NewReader(r.Body)})
+	tracker := &sendTracker{}
+	req, err := c.build(tracker.trace(ctx), r, token, &nonRewindableBody{Reader: bytes.NewReader(r.Body)})
 	if err != nil {
 		return call.Refuse(call.BadRequest, 0)
 	}
-	res, err := c.transport(r).RoundTrip(out)
+	res, err := c.transport(r).RoundTrip(req)
 	if err != nil {
-		return failed(sent, err)
+		return answerOfError(tracker, err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	return c.read(res)
+	return c.readResponse(res)
 }
 
-func (c *Client) build(ctx context.Context, r *call.Request, token string, body *once) (*http.Request, error) {
-	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+c.address.String()+r.Path, body)
+func (c *Client) build(ctx context.Context, r *call.Request, token string, body *nonRewindableBody) (*http.Request, error) {
+	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+c.address.String()+r.Path, body)
 	if err != nil {
 		return nil, errors.Wrap(err, "upstream: build request")
 	}
-	out.ContentLength = int64(len(r.Body))
+	req.ContentLength = int64(len(r.Body))
 	for name, values := range r.Header {
-		out.Header[name] = values
+		req.Header[name] = values
 	}
-	out.Header.Set(HeaderOrganisation, r.Organisation)
-	out.Header.Set(HeaderOperation, r.Operation)
-	out.Header.Set(HeaderRequestID, r.ID)
-	out.Header.Set(HeaderToken, token)
-	out.Header.Set(HeaderTimeout, strconv.FormatInt(r.Remaining(time.Now()).Milliseconds(), 10))
-	return out, nil
+	req.Header.Set(HeaderOrganisation, r.Organisation)
+	req.Header.Set(HeaderOperation, r.Operation)
+	req.Header.Set(HeaderRequestID, r.ID)
+	req.Header.Set(HeaderToken, token)
+	req.Header.Set(HeaderTimeout, strconv.FormatInt(r.Remaining(time.Now()).Milliseconds(), 10))
+	return req, nil
 }
 
-// failed tells what a transport error says of the request: not run only where
-// it is proved that no byte of it reached the upstream.
-func failed(sent *proof, err error) call.Answer {
-	unsent := sent.unsent()
-	var op *net.OpError
+// answerOfError converts a transport error: the request counts as not run only if
+// it is certain that no byte of it was sent to the upstream.
+func answerOfError(tracker *sendTracker, err error) call.Answer {
+	notSent := tracker.sealUnsent()
+	var opErr *net.OpError
 	switch {
-	case unsent && errors.Is(err, context.Canceled):
+	case notSent && errors.Is(err, context.Canceled):
 		return call.Refuse(call.Cancelled, 0)
-	case unsent && errors.Is(err, context.DeadlineExceeded):
+	case notSent && errors.Is(err, context.DeadlineExceeded):
 		return call.Refuse(call.DeadlineTooNear, 0)
-	case unsent && (sent.connected() || errors.As(err, &op)):
-		return call.Refuse(call.NoUpstream, comeBack)
-	case unsent:
+	case notSent && (tracker.hasConn() || errors.As(err, &opErr)):
+		return call.Refuse(call.NoUpstream, unreachableRetryAfter)
+	case notSent:
 		return call.Refuse(call.BadRequest, 0)
 	case errors.Is(err, context.Canceled):
 		return call.Lose(call.Cancelled)
@@ -140,19 +142,19 @@
 	}
 }
 
-// comeBack is when to come back after an upstream that could not be reached.
-const comeBack = time.Second
+// unreachableRetryAfter is the retry delay that a caller is given when the upstream could not be reached.
+const unreachableRetryAfter = time.Second
 
-func (c *Client) read(res *http.Response) call.Answer {
-	body, err := io.ReadAll(io.LimitReader(res.Body, c.maxAnswer+1))
-	if err != nil || int64(len(body)) > c.maxAnswer {
+func (c *Client) readResponse(res *http.Response) call.Answer {
+	body, err := io.ReadAll(io.LimitReader(res.Body, c.maxResponse+1))
+	if err != nil || int64(len(body)) > c.maxResponse {
 		return call.Lose(call.AnswerLost)
 	}
 	if res.ContentLength >= 0 && int64(len(body)) != res.ContentLength && res.Request.Method != http.MethodHead {
 		return call.Lose(call.AnswerLost)
 	}
-	// An answer that ends with its connection looks the same when the upstream
-	// dies in the middle of it, so only one with a length or chunks is whole.
+	// A response that ends with its connection looks the same if the upstream
+	// crashes while sending it, so only one with a length or in chunks counts as complete.
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 && res.Request.Method != http.MethodHead {
 		return call.Lose(call.AnswerLost)
 	}
@@ -170,10 +172,10 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// once is a body that the transport can't rewind, so that it never sends a
-// request again by itself. Without it, the transport repeats a request whose
-// reused connection fails: a dispatch would run twice and nobody would know.
-type once struct{ io.Reader }
+// nonRewindableBody is a body that the transport can't rewind, so that it never retries a
+// request by itself. Otherwise the transport would retry a request whose
+// reused connection fails, and the request could run twice unnoticed.
+type nonRewindableBody struct{ io.Reader }
 
 // Close does nothing.
-func (o *once) Close() error { return nil }
+func (b *nonRewindableBody) Close() error { return nil }
--- a/internal/wire/upstream/doc.go
+++ b/internal/wire/upstream/doc.go
@@ -1,2 +1,2 @@
-// Package upstream runs requests on the upstream beside the daemon over HTTP.
+// Package upstream is the HTTP client that runs requests on the upstream on the daemon's host.
 package upstream
--- a/internal/wire/upstream/proof.go
+++ b/internal/wire/upstream/proof.go
@@ -9,19 +9,19 @@
 	"github.com/pkg/errors"
 )
 
-// errSealed fails a write on a connection whose request was already answered as not run.
-var errSealed = errors.New("upstream: request given up before its first byte")
+// errSealed is the error of a write on a connection whose request has already been reported as not run.
+var errSealed = errors.New("upstream: request ended before its first byte was sent")
 
-// countedConn counts the writes begun on a connection, so that an error can be
-// told apart from a request that may have arrived.
+// countingConn counts the writes begun on a connection, to distinguish a request
+// of which nothing was sent from one that may have arrived.
 //
-// An upstream closes an idle connection just as a request takes it, or the
-// caller hangs up while a connection is being opened. The transport's error is
-// the same whether or not bytes went out, and calling every such request
-// unknown would tell a dispatcher that a truck may be booked when nothing was
-// sent. A write is counted before the kernel sees it, and after seal no write
-// passes, so a count that did not move proves that nothing was sent.
-type countedConn struct {
+// If the upstream closes an idle connection just as a request uses it, or the
+// caller hangs up while a connection is being opened, the transport's error is
+// the same whether or not bytes were sent. If every such request were reported with an
+// unknown outcome, callers would have to assume that it may have run though nothing was
+// sent. A write is counted before it reaches the kernel, and after seal no write
+// is passed on, so an unchanged count proves that nothing was sent.
+type countingConn struct {
 	net.Conn
 
 	mu     sync.Mutex
@@ -30,7 +30,7 @@
 }
 
 // Write passes the bytes on unless the connection is sealed.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
 		c.mu.Unlock()
@@ -41,71 +41,71 @@
 	return c.Conn.Write(p)
 }
 
-func (c *countedConn) begun() uint64 {
+func (c *countingConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal reports whether no write began since the count was taken, and if so lets none begin.
-func (c *countedConn) seal(since uint64) bool {
+// seal reports whether no write has begun since the count was taken, and if so rejects all later writes.
+func (c *countingConn) seal(count uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writes != since {
+	if c.writes != count {
 		return false
 	}
 	c.sealed = true
 	return true
 }
 
-func counted(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
+func countingDial(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &countedConn{Conn: c}, nil
+		return &countingConn{Conn: c}, nil
 	}
 }
 
-// proof follows one request and knows whether any byte of it may have left.
-type proof struct {
-	mu    sync.Mutex
-	conn  *countedConn
-	since uint64
-	over  bool
+// sendTracker tracks whether any byte of one request may have been sent.
+type sendTracker struct {
+	mu          sync.Mutex
+	conn        *countingConn
+	countBefore uint64
+	finished    bool
 }
 
-func (p *proof) trace(ctx context.Context) context.Context {
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: p.got})
+func (t *sendTracker) trace(ctx context.Context) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: t.gotConn})
 }
 
-// got runs before the transport hands the request to the connection's writer.
-func (p *proof) got(info httptrace.GotConnInfo) {
-	c, ok := info.Conn.(*countedConn)
+// gotConn is called before the transport passes the request to the connection's writer.
+func (t *sendTracker) gotConn(info httptrace.GotConnInfo) {
+	c, ok := info.Conn.(*countingConn)
 	if !ok {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.conn = c
-	p.since = c.begun()
-	if p.over {
-		c.seal(p.since)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.conn = c
+	t.countBefore = c.writeCount()
+	if t.finished {
+		c.seal(t.countBefore)
 	}
 }
 
-// unsent reports whether no byte of the request was sent, and makes sure that none will be.
-func (p *proof) unsent() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.over = true
-	return p.conn == nil || p.conn.seal(p.since)
+// sealUnsent reports whether no byte of the request was sent, and if so ensures that none will be.
+func (t *sendTracker) sealUnsent() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.finished = true
+	return t.conn == nil || t.conn.seal(t.countBefore)
 }
 
-// connected reports whether the request got as far as having a connection.
-func (p *proof) connected() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.conn != nil
+// hasConn reports whether the request was assigned a connection.
+func (t *sendTracker) hasConn() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.conn != nil
 }
--- a/internal/wire/upstream/proof_test.go
+++ b/internal/wire/upstream/proof_test.go
@@ -16,11 +16,11 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-func TestProofOfNotSent(t *testing.T) {
-	// A connection fails, or the caller hangs up, around the moment at which a
-	// request's first byte would leave. Told wrongly, a household is charged by
-	// a request that was called not run, or a booking is in doubt for nothing.
-	Convey("With the connection of a request that failed", t, func() {
+func TestSendTracker(t *testing.T) {
+	// A connection fails, or the caller hangs up, around the time at which a request's
+	// first byte would be sent. A wrong result would report a request as not run though it
+	// may run, or as unknown though nothing was sent.
+	Convey("With a connection that was used before", t, func() {
 		near, far := net.Pipe()
 		go func() {
 			buffer := make([]byte, 64)
@@ -31,71 +31,70 @@
 			}
 		}()
 		t.Cleanup(func() { _ = near.Close(); _ = far.Close() })
-		conn := &countedConn{Conn: near}
-		sent := &proof{}
+		conn := &countingConn{Conn: near}
+		tracker := &sendTracker{}
 		_, err := conn.Write([]byte("an earlier request"))
 		So(err, ShouldBeNil)
-		Convey("nothing written is proof, and nothing is written later", func() {
-			sent.got(httptrace.GotConnInfo{Conn: conn})
-			So(sent.unsent(), ShouldBeTrue)
+		Convey("a request without a write is unsent, and later writes fail", func() {
+			tracker.gotConn(httptrace.GotConnInfo{Conn: conn})
+			So(tracker.sealUnsent(), ShouldBeTrue)
 			_, err := conn.Write([]byte("late"))
 			So(err, ShouldEqual, errSealed)
 		})
-		Convey("one write is no proof", func() {
-			sent.got(httptrace.GotConnInfo{Conn: conn})
+		Convey("a request with one write is not unsent", func() {
+			tracker.gotConn(httptrace.GotConnInfo{Conn: conn})
 			_, err := conn.Write([]byte("x"))
 			So(err, ShouldBeNil)
-			So(sent.unsent(), ShouldBeFalse)
+			So(tracker.sealUnsent(), ShouldBeFalse)
 		})
-		Convey("a connection that comes after the verdict is sealed", func() {
-			So(sent.unsent(), ShouldBeTrue)
-			sent.got(httptrace.GotConnInfo{Conn: conn})
+		Convey("a connection that is assigned after the request ended is sealed", func() {
+			So(tracker.sealUnsent(), ShouldBeTrue)
+			tracker.gotConn(httptrace.GotConnInfo{Conn: conn})
 			_, err := conn.Write([]byte("late"))
 			So(err, ShouldEqual, errSealed)
 		})
 	})
 }
 
-func TestGivenUpBeforeSending(t *testing.T) {
-	address, seen := startRaw(t, ok)
+func TestFailuresBeforeSending(t *testing.T) {
+	address, counts := startRaw(t, okResponse)
 	c := New(address)
-	Convey("A caller that hung up before the request left was not run", t, func() {
+	Convey("A request whose caller hung up before it was sent did not run", t, func() {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		a := c.Do(ctx, request(http.MethodPost), "t")
 		So(a.Outcome, ShouldEqual, call.NotRun)
 		So(a.Reason, ShouldEqual, call.Cancelled)
 	})
-	Convey("Nor was one whose deadline had passed", t, func() {
+	Convey("A request whose deadline had passed did not run", t, func() {
 		r := request(http.MethodPost)
 		r.Deadline = time.Now().Add(-time.Millisecond)
 		a := c.Do(t.Context(), r, "t")
 		So(a.Outcome, ShouldEqual, call.NotRun)
 		So(a.Reason, ShouldEqual, call.DeadlineTooNear)
 	})
-	Convey("Nor one with a header that can't be sent", t, func() {
+	Convey("A request with an invalid header did not run", t, func() {
 		r := request(http.MethodPost)
 		r.Header = http.Header{"X": {"a\nFoxtailhook-Organisation: b"}}
 		a := c.Do(t.Context(), r, "t")
 		So(a.Outcome, ShouldEqual, call.NotRun)
 		So(a.Reason, ShouldEqual, call.BadRequest)
 	})
-	Convey("The upstream saw none of them", t, func() { So(seen.requests.Load(), ShouldEqual, 0) })
+	Convey("The upstream received none of them", t, func() { So(counts.requests.Load(), ShouldEqual, 0) })
 }
 
-func TestAnswerWithoutLength(t *testing.T) {
-	// An upstream that ends its answer by closing the connection looks the same
-	// when it is killed in the middle of it: the caller would take half a
-	// vehicle list for the whole.
-	Convey("An answer that ends with its connection is not called whole", t, func() {
+func TestResponseWithoutLength(t *testing.T) {
+	// A response that ends when the connection is closed looks the same if the upstream
+	// is killed while sending it: the caller would take a part of it for the whole.
+	Convey("A response that ends with its connection does not count as complete", t, func() {
 		address, _ := startRaw(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf a li")
 		So(New(address).Do(t.Context(), request(http.MethodPost), "t").Outcome, ShouldEqual, call.Unknown)
 	})
 }
 
-func TestOnceIdle(t *testing.T) {
-	// An upstream closes connections that were idle for its keep-alive time. A
-	// dispatch that takes one at that moment is lost with an unknown outcome.
+func TestNonIdempotentMaxIdle(t *testing.T) {
+	// An upstream closes connections after its own idle timeout. A request that
+	// uses one at that moment is lost with an unknown outcome.
 	var opened atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }))
 	server.Config.ConnState = func(_ net.Conn, s http.ConnState) {
@@ -105,27 +104,27 @@
 	}
 	server.Start()
 	t.Cleanup(server.Close)
-	const onceIdle = 20 * time.Millisecond
-	c := New(netip.MustParseAddrPort(server.Listener.Addr().String()), WithOnceIdle(onceIdle))
+	const maxIdle = 20 * time.Millisecond
+	c := New(netip.MustParseAddrPort(server.Listener.Addr().String()), WithOnceIdle(maxIdle))
 	cases := []struct {
 		name       string
 		idempotent bool
-		opened     int32
+		wantOpened int32
 	}{
-		{"an idempotent request reuses a connection that was idle for long", true, 1},
-		{"one that may not be repeated opens a new one", false, 2},
+		{"an idempotent request reuses a connection", true, 1},
+		{"a request that is not idempotent opens a new one", false, 2},
 	}
-	Convey("After an idle time", t, func() {
-		for _, e := range cases {
-			Convey(e.name, func() {
+	Convey("After the maximum idle time for requests that are not idempotent", t, func() {
+		for _, tc := range cases {
+			Convey(tc.name, func() {
 				before := opened.Load()
 				for range 2 {
 					r := request(http.MethodPost)
-					r.Idempotent = e.idempotent
+					r.Idempotent = tc.idempotent
 					So(c.Do(t.Context(), r, "t").Outcome, ShouldEqual, call.Whole)
-					time.Sleep(20 * onceIdle)
+					time.Sleep(20 * maxIdle)
 				}
-				So(opened.Load()-before, ShouldEqual, e.opened)
+				So(opened.Load()-before, ShouldEqual, tc.wantOpened)
 			})
 		}
 	})
