--- a/internal/wire/platform/client.go
+++ b/internal/wire/platform/client.go
@@ -16,37 +16,38 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// HeaderVersion carries a list's version in the platform's answers.
+// HeaderVersion is the HTTP header with a list's version in the service's responses.
 const HeaderVersion = "List-Version"
 
-// ErrUnchanged means that the watch ended without a newer version.
-var ErrUnchanged = errors.New("platform: unchanged")
+// ErrUnchanged means that the list has no newer version, or does not exist.
+var ErrUnchanged = errors.New("platform: list unchanged")
 
-// Client reads lists from the configuration service; it never writes.
+// Client reads lists from the configuration service; it never writes to it.
 type Client struct {
-	address netip.AddrPort
-	http    *http.Client
-	reads   atomic.Uint64
+	address    netip.AddrPort
+	httpClient *http.Client
+	reads      atomic.Uint64
 }
 
-// slack is how much longer than the watch itself an answer may take.
-const slack = 2 * time.Second
+// timeoutMargin is how much longer than the wait of the watch its response may take; it also bounds dialing.
+const timeoutMargin = 2 * time.Second
 
-// New returns a client for the service at the address that speaks from the local IP number; an unspecified one means any.
-func New(address netip.AddrPort, local netip.Addr) *Client {
-	dialer := &net.Dialer{Timeout: slack}
-	if local.IsValid() && !local.IsUnspecified() {
-		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(local, 0))
+// New returns a client for the service at the address. It connects from localIP; if that is invalid or unspecified, the system chooses.
+func New(address netip.AddrPort, localIP netip.Addr) *Client {
+	dialer := &net.Dialer{Timeout: timeoutMargin}
+	if localIP.IsValid() && !localIP.IsUnspecified() {
+		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(localIP, 0))
 	}
-	return &Client{address: address, http: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext}}}
+	return &Client{address: address, httpClient: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext}}}
 }
 
-// Reads returns the number of calls made, a waiting watch as one.
+// Reads returns the number of calls to Watch.
 func (c *Client) Reads() uint64 { return c.reads.Load() }
 
-// Watch returns the list's value once its version is above after, or ErrUnchanged when wait is over; wait zero reads at once.
+// Watch returns the list's value once its version is greater than after, or ErrUnchanged if it isn't within wait; with zero
+// wait it returns at once.
 func (c *Client) Watch(ctx context.Context, kind lists.Kind, after uint64, wait time.Duration) (lists.Value, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+slack)
+	ctx, cancel := context.WithTimeout(ctx, wait+timeoutMargin)
 	defer cancel()
 	c.reads.Add(1)
 	url := fmt.Sprintf("http://%s/v1/lists/%s?after=%d&waitMs=%d", c.address, kind, after, wait.Milliseconds())
@@ -54,27 +55,27 @@
 	if err != nil {
 		return lists.Value{}, errors.Wrap(err, "platform: build request")
 	}
-	res, err := c.http.Do(req)
+	res, err := c.httpClient.Do(req)
 	if err != nil {
 		return lists.Value{}, errors.Wrapf(err, "platform: watch %s", kind)
 	}
 	defer func() { _ = res.Body.Close() }()
-	return c.read(kind, res)
+	return c.readValue(kind, res)
 }
 
-func (c *Client) read(kind lists.Kind, res *http.Response) (lists.Value, error) {
+func (c *Client) readValue(kind lists.Kind, res *http.Response) (lists.Value, error) {
 	switch res.StatusCode {
 	case http.StatusNotModified, http.StatusNotFound:
 		return lists.Value{}, ErrUnchanged
 	case http.StatusOK:
 	default:
-		return lists.Value{}, errors.Errorf("platform: watch %s: status %d", kind, res.StatusCode)
+		return lists.Value{}, errors.Errorf("platform: watch %s: status %d, want 200, 304 or 404", kind, res.StatusCode)
 	}
 	version, err := strconv.ParseUint(res.Header.Get(HeaderVersion), 10, 64)
 	if err != nil {
-		return lists.Value{}, errors.Wrapf(err, "platform: version of %s", kind)
+		return lists.Value{}, errors.Wrapf(err, "platform: invalid version header for %s", kind)
 	}
-	// One byte over the bound is read, so that the value's own check can tell and name the fault.
+	// One byte more than the bound is read, so that the check of the value detects and reports a list that is too large.
 	raw, err := io.ReadAll(io.LimitReader(res.Body, lists.MaxBytes+1))
 	if err != nil {
 		return lists.Value{}, errors.Wrapf(err, "platform: read %s", kind)
--- a/internal/wire/platform/doc.go
+++ b/internal/wire/platform/doc.go
@@ -1,2 +1,2 @@
-// Package platform reads and watches the lists that the configuration service publishes.
+// Package platform is a client that reads and watches the lists of the configuration service.
 package platform
