--- a/internal/wire/upstream/client.go
+++ b/internal/wire/upstream/client.go
@@ -26,8 +26,6 @@
 )
 
 // Client sends requests to one upstream, each at most once.
-//
-// Requests that are not idempotent have a transport of their own.
 type Client struct {
 	address              netip.AddrPort
 	nonIdempotent        *http.Transport
--- a/internal/wire/upstream/proof.go
+++ b/internal/wire/upstream/proof.go
@@ -58,6 +58,7 @@
 	return true
 }
 
+// countingDial wraps a dial function so that its connections count writes.
 func countingDial(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
