--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -62,7 +62,7 @@
 	}
 	d.answers = newAnswerCounts(d.metrics.Scope)
 	d.view.Store(lists.NewSet().View())
-	d.owner = newOwner(s, upstream.New(s.Upstream, upstream.WithMaxAnswer(int64(s.BodyBound)), upstream.WithOnceIdle(s.OnceIdle)))
+	d.owner = newOwner(s, upstream.New(s.Upstream, upstream.WithMaxResponse(int64(s.BodyBound)), upstream.WithNonIdempotentMaxIdle(s.OnceIdle)))
 	d.rates = newRates(d)
 	d.control = newControl(d, platform.New(s.Platform, s.Peers.Addr()))
 	d.peers = peer.New(s.Peers, peer.WithMaxFrame(s.BodyBound+frameSlack), peer.WithLogger(d.peerFault), peer.WithSecrets(s.Secrets...))
--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -44,9 +44,9 @@
 		history: ledger.NewHistory(window),
 		window:  window,
 	}
-	peer.Handle(d.peers, peer.KindOnce, r.takeOnce)
+	peer.Handle(d.peers, peer.KindRunOnce, r.takeOnce)
 	peer.Handle(d.peers, peer.KindRecall, r.takeRecall)
-	peer.Handle(d.peers, peer.KindLegacy, r.takeLegacy)
+	peer.Handle(d.peers, peer.KindKeyTransfer, r.takeLegacy)
 	return r
 }
 
@@ -137,7 +137,7 @@
 }
 
 func (r *repeats) handOn(ctx context.Context, host lists.Host, sent *call.Request) call.Answer {
-	back, err := peer.Call[handoff, handback](ctx, r.daemon.peers, host.Peer, peer.KindOnce, newHandoff(sent, time.Now()))
+	back, err := peer.Call[handoff, handback](ctx, r.daemon.peers, host.Peer, peer.KindRunOnce, newHandoff(sent, time.Now()))
 	if err == nil {
 		return back.answer()
 	}
@@ -360,7 +360,7 @@
 			continue
 		}
 		passing.Go(func() {
-			got, err := peer.Call[legacy, accepted](ctx, r.daemon.peers, host.Peer, peer.KindLegacy, out)
+			got, err := peer.Call[legacy, accepted](ctx, r.daemon.peers, host.Peer, peer.KindKeyTransfer, out)
 			if err != nil || !got.OK {
 				r.daemon.log.WithField("to", host.Host).Warn("idempotency keys not passed on")
 			}
--- a/internal/app/daemon/spreading.go
+++ b/internal/app/daemon/spreading.go
@@ -78,7 +78,7 @@
 			err = errEnding
 		}
 		if err != nil {
-			c.daemon.peers.Drop(to)
+			c.daemon.peers.DropLinks(to)
 		}
 		c.ask(func() { c.exchanged(to, theirs, err, now) })
 	})
--- a/internal/app/router/beats.go
+++ b/internal/app/router/beats.go
@@ -197,7 +197,7 @@
 	}
 	ctx, cancel := context.WithTimeout(b.ctx, beatTime)
 	defer cancel()
-	back, err := peer.Call[collect.Heartbeat, collect.Reply](ctx, b.router.peers, b.router.peerOf(host), peer.KindBeat, own)
+	back, err := peer.Call[collect.Heartbeat, collect.Reply](ctx, b.router.peers, b.router.peerOf(host), peer.KindHeartbeat, own)
 	if err != nil {
 		b.avoid(host, err)
 	}
--- a/internal/app/router/router.go
+++ b/internal/app/router/router.go
@@ -71,7 +71,7 @@
 	r.control = newControl(r, source)
 	r.beats = newReporter(r)
 	peer.Handle(r.peers, peer.KindRun, r.takeRun)
-	peer.Handle(r.peers, peer.KindBeat, r.beats.take)
+	peer.Handle(r.peers, peer.KindHeartbeat, r.beats.take)
 	peer.Handle(r.peers, peer.KindChanges, r.control.takeFetch)
 	r.callers = httpd.New(s.Callers, http.HandlerFunc(r.serve), httpd.WithBodyBound(bodyBound), httpd.WithMaxConns(r.maxConns()),
 		httpd.WithHeldBytes(r.heldBytes()), httpd.WithRefuser(r.refuseFault), httpd.WithClosing(r.closing))
--- a/internal/app/router/send.go
+++ b/internal/app/router/send.go
@@ -36,8 +36,8 @@
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	res, err := o.instance.Do(ctx, &instance.Request{
-		Method: m.Method, Target: m.Target, Host: m.HTTPHost, Header: header, Body: m.Body, Deadline: deadline, Repeatable: m.Idempotent,
-		Answers: func(h http.Header) bool {
+		Method: m.Method, Target: m.Target, Host: m.HTTPHost, Header: header, Body: m.Body, Deadline: deadline, Idempotent: m.Idempotent,
+		Matches: func(h http.Header) bool {
 			id := o.heads.Answer(http.StatusOK, h).RequestID
 			return id == "" || id == m.RequestID
 		},
--- a/internal/wire/instance/client.go
+++ b/internal/wire/instance/client.go
@@ -33,10 +33,10 @@
 	Body   []byte
 	// Deadline is the time after which the request fails.
 	Deadline time.Time
-	// Repeatable marks an idempotent request: it may use a connection that has been idle for longer.
-	Repeatable bool
-	// Answers reports whether the response with this header belongs to the request.
-	Answers func(http.Header) bool
+	// Idempotent requests may be retried: such a request may use a connection that has been idle for longer.
+	Idempotent bool
+	// Matches reports whether the response with this header belongs to the request.
+	Matches func(http.Header) bool
 }
 
 // Response is a complete response of the instance.
@@ -57,11 +57,13 @@
 // Option configures a client.
 type Option func(*Client)
 
-// WithMaxAnswer bounds the size of a response body in bytes.
-func WithMaxAnswer(bytes int64) Option { return func(c *Client) { c.maxResponse = bytes } }
+// WithMaxResponse bounds the size of a response body in bytes.
+func WithMaxResponse(bytes int64) Option { return func(c *Client) { c.maxResponse = bytes } }
 
-// WithOnceIdle sets how long a connection may be idle before a request that is not idempotent opens a new one instead.
-func WithOnceIdle(d time.Duration) Option { return func(c *Client) { c.pool.nonIdempotentMaxIdle = d } }
+// WithNonIdempotentMaxIdle sets how long a connection may be idle before a request that is not idempotent opens a new one instead.
+func WithNonIdempotentMaxIdle(d time.Duration) Option {
+	return func(c *Client) { c.pool.nonIdempotentMaxIdle = d }
+}
 
 const (
 	// dialTimeout bounds opening a connection; the instance is on the same host.
@@ -117,7 +119,7 @@
 }
 
 func (c *Client) connection(ctx context.Context, r *Request) (*conn, error) {
-	if cn := c.pool.get(r.Repeatable, time.Now()); cn != nil {
+	if cn := c.pool.get(r.Idempotent, time.Now()); cn != nil {
 		return cn, nil
 	}
 	c.opened.Add(1)
@@ -184,7 +186,7 @@
 		if err != nil {
 			return Response{}, err
 		}
-		if r.Answers(header.Header) {
+		if r.Matches(header.Header) {
 			return res, nil
 		}
 		if !cn.reusable {
--- a/internal/wire/peer/bound.go
+++ b/internal/wire/peer/bound.go
@@ -15,8 +15,8 @@
 // WithMaxLinks bounds the number of connections that this node dials and keeps open.
 func WithMaxLinks(count int) Option { return func(n *Node) { n.maxLinks = count } }
 
-// WithIdleTime sets the time without a message after which a dialed connection is closed.
-func WithIdleTime(d time.Duration) Option { return func(n *Node) { n.idleTimeout = d } }
+// WithIdleTimeout sets the time without a message after which a dialed connection is closed.
+func WithIdleTimeout(d time.Duration) Option { return func(n *Node) { n.idleTimeout = d } }
 
 // timestamp is a time in nanoseconds that several goroutines may read and set; 0 means unset.
 type timestamp struct{ unixNano atomic.Int64 }
--- a/internal/wire/peer/bound_test.go
+++ b/internal/wire/peer/bound_test.go
@@ -79,7 +79,7 @@
 
 func TestIdleLinksAreClosed(t *testing.T) {
 	Convey("An idle link is closed, and the next call opens another", t, func() {
-		client, _ := startNode(t, WithIdleTime(40*time.Millisecond))
+		client, _ := startNode(t, WithIdleTimeout(40*time.Millisecond))
 		_, to := startNode(t)
 		for range 3 {
 			_, err := Call[message, message](t.Context(), client, to, KindCall, message{"x"})
@@ -94,7 +94,7 @@
 	// unknown though nothing was sent. On a busy machine, even a new link can be idle for that long
 	// before its first call begins, several times in a row.
 	Convey("No call fails because its link is closed as idle", t, func() {
-		client, _ := startNode(t, WithIdleTime(sweepsPerIdleTimeout))
+		client, _ := startNode(t, WithIdleTimeout(sweepsPerIdleTimeout))
 		_, to := startNode(t)
 		for range 300 {
 			_, err := Call[message, message](t.Context(), client, to, KindCall, message{"x"})
--- a/internal/wire/peer/kind.go
+++ b/internal/wire/peer/kind.go
@@ -20,14 +20,14 @@
 	KindConfirm // confirm
 	// KindRecall asks where an idempotency key was run.
 	KindRecall // recall
-	// KindOnce forwards a request to the daemon that holds its idempotency key.
-	KindOnce // once
-	// KindLegacy transfers the idempotency keys of a leaving daemon.
-	KindLegacy // legacy
+	// KindRunOnce forwards a request to the daemon that holds its idempotency key.
+	KindRunOnce // once
+	// KindKeyTransfer transfers the idempotency keys of a leaving daemon.
+	KindKeyTransfer // legacy
 	// KindRun forwards a request to the daemon on the host of an instance.
 	KindRun // run
-	// KindBeat is a daemon's heartbeat with its report to a collector.
-	KindBeat // beat
+	// KindHeartbeat is a daemon's heartbeat with its report to a collector.
+	KindHeartbeat // beat
 	// KindChanges asks for changes to what is published.
 	KindChanges // changes
 	// KindProbe asks for an immediate, empty response.
--- a/internal/wire/peer/kind_string.go
+++ b/internal/wire/peer/kind_string.go
@@ -15,10 +15,10 @@
 	_ = x[KindHandover-5]
 	_ = x[KindConfirm-6]
 	_ = x[KindRecall-7]
-	_ = x[KindOnce-8]
-	_ = x[KindLegacy-9]
+	_ = x[KindRunOnce-8]
+	_ = x[KindKeyTransfer-9]
 	_ = x[KindRun-10]
-	_ = x[KindBeat-11]
+	_ = x[KindHeartbeat-11]
 	_ = x[KindChanges-12]
 	_ = x[KindProbe-13]
 }
--- a/internal/wire/peer/node.go
+++ b/internal/wire/peer/node.go
@@ -58,7 +58,7 @@
 }
 
 func linkKeyOf(to netip.AddrPort, k Kind) linkKey {
-	return linkKey{to: to, forwarding: k == KindCall || k == KindOnce || k == KindRun}
+	return linkKey{to: to, forwarding: k == KindCall || k == KindRunOnce || k == KindRun}
 }
 
 type handler func(ctx context.Context, from netip.AddrPort, payload []byte) ([]byte, error)
--- a/internal/wire/peer/replace.go
+++ b/internal/wire/peer/replace.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Drop takes the links to a peer out of use, so that new calls dial new connections.
+// DropLinks takes the links to a peer out of use, so that new calls dial new connections.
 //
 // After a network fault, TCP retransmits with growing delays, and a firewall
 // that lost its state discards the segments for good; a
 // new connection works as soon as the network does.
-func (n *Node) Drop(to netip.AddrPort) {
+func (n *Node) DropLinks(to netip.AddrPort) {
 	for _, k := range []Kind{KindCall, KindDigest} {
 		n.mu.Lock()
 		l := n.links[linkKeyOf(to, k)]
--- a/internal/wire/peer/silent_test.go
+++ b/internal/wire/peer/silent_test.go
@@ -85,7 +85,7 @@
 			ended <- err
 		}()
 		<-begun
-		client.Drop(proxyAddress)
+		client.DropLinks(proxyAddress)
 		_, err := Call[message, message](t.Context(), client, proxyAddress, KindCall, message{"next"})
 		So(err, ShouldBeNil)
 		So(proxy.opened.Load(), ShouldEqual, 2)
--- a/internal/wire/upstream/client.go
+++ b/internal/wire/upstream/client.go
@@ -46,12 +46,14 @@
 // Option configures a client.
 type Option func(*Client)
 
-// WithMaxAnswer bounds the size of a response body in bytes.
-func WithMaxAnswer(bytes int64) Option { return func(c *Client) { c.maxResponse = bytes } }
+// WithMaxResponse bounds the size of a response body in bytes.
+func WithMaxResponse(bytes int64) Option { return func(c *Client) { c.maxResponse = bytes } }
 
-// WithOnceIdle sets how long a connection may be idle before a request that is
+// WithNonIdempotentMaxIdle sets how long a connection may be idle before a request that is
 // not idempotent opens a new one instead; it should be below the upstream's own idle timeout.
-func WithOnceIdle(d time.Duration) Option { return func(c *Client) { c.nonIdempotentMaxIdle = d } }
+func WithNonIdempotentMaxIdle(d time.Duration) Option {
+	return func(c *Client) { c.nonIdempotentMaxIdle = d }
+}
 
 // New returns a client for the upstream at the address.
 //
--- a/internal/wire/upstream/proof_test.go
+++ b/internal/wire/upstream/proof_test.go
@@ -105,7 +105,7 @@
 	server.Start()
 	t.Cleanup(server.Close)
 	const maxIdle = 20 * time.Millisecond
-	c := New(netip.MustParseAddrPort(server.Listener.Addr().String()), WithOnceIdle(maxIdle))
+	c := New(netip.MustParseAddrPort(server.Listener.Addr().String()), WithNonIdempotentMaxIdle(maxIdle))
 	cases := []struct {
 		name       string
 		idempotent bool
