--- a/internal/wire/peer/handshake.go
+++ b/internal/wire/peer/handshake.go
@@ -58,27 +58,27 @@
 // dialerHandshake performs the dialer's side of the handshake on a connection that is still blocking.
 func dialerHandshake(c net.Conn, secret string, timeout time.Duration) error {
 	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
-		return errors.Wrap(err, "peer: handshake")
+		return errors.Wrap(err, "peer: set handshake deadline")
 	}
 	ownNonce := newNonce()
 	if _, err := c.Write(append([]byte(preamble), ownNonce...)); err != nil {
-		return errors.Wrap(err, "peer: handshake")
+		return errors.Wrap(err, "peer: send preamble and nonce")
 	}
 	peerNonce := make([]byte, nonceSize)
 	if _, err := io.ReadFull(c, peerNonce); err != nil {
-		return errors.Wrap(err, "peer: handshake")
+		return errors.Wrap(err, "peer: read the listener's nonce")
 	}
 	if _, err := c.Write(computeProof(secret, roleDialer, ownNonce, peerNonce)); err != nil {
-		return errors.Wrap(err, "peer: handshake")
+		return errors.Wrap(err, "peer: send the dialer's proof")
 	}
 	proof := make([]byte, proofSize)
 	if _, err := io.ReadFull(c, proof); err != nil {
-		return errors.Wrap(err, "peer: handshake")
+		return errors.Wrap(err, "peer: read the listener's proof")
 	}
 	if !hmac.Equal(proof, computeProof(secret, roleListener, ownNonce, peerNonce)) {
 		return errSecret
 	}
-	return errors.Wrap(c.SetDeadline(time.Time{}), "peer: handshake")
+	return errors.Wrap(c.SetDeadline(time.Time{}), "peer: clear handshake deadline")
 }
 
 // listenerHandshake is the listener's side of the handshake, fed with bytes as they arrive.
--- a/internal/wire/peer/node.go
+++ b/internal/wire/peer/node.go
@@ -163,8 +163,8 @@
 	return len(n.conns)
 }
 
-// handleOpen bounds accepted connections, so that a flood of them does no harm: in number
-// and, until their handshake is complete, in time.
+// handleOpen limits what a flood of connections can take: it bounds their number
+// and the time until their handshake is complete.
 func (n *Node) handleOpen(c *nbio.Conn) {
 	if n.linkOf(c).handshake.done {
 		return
--- a/internal/wire/upstream/client.go
+++ b/internal/wire/upstream/client.go
@@ -177,5 +177,5 @@
 // reused connection fails, and the request could run twice unnoticed.
 type nonRewindableBody struct{ io.Reader }
 
-// Close does nothing.
+// Close implements io.Closer; there is nothing to release.
 func (b *nonRewindableBody) Close() error { return nil }
