--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -44,9 +44,9 @@
 		history: ledger.NewHistory(window),
 		window:  window,
 	}
-	peer.Handle(d.peers, peer.KindOnce, r.handleOnce)
+	peer.Handle(d.peers, peer.KindRunOnce, r.handleOnce)
 	peer.Handle(d.peers, peer.KindRecall, r.handleRecall)
-	peer.Handle(d.peers, peer.KindLegacy, r.handleTransfer)
+	peer.Handle(d.peers, peer.KindKeyTransfer, r.handleTransfer)
 	return r
 }
 
@@ -137,7 +137,7 @@
 }
 
 func (r *deduplicator) forwardToHolder(ctx context.Context, host lists.Host, sent *call.Request) call.Answer {
-	reply, err := peer.Call[runRequest, runResult](ctx, r.daemon.peers, host.Peer, peer.KindOnce, newRunRequest(sent, time.Now()))
+	reply, err := peer.Call[runRequest, runResult](ctx, r.daemon.peers, host.Peer, peer.KindRunOnce, newRunRequest(sent, time.Now()))
 	if err == nil {
 		return reply.answer()
 	}
@@ -362,7 +362,7 @@
 			continue
 		}
 		calls.Go(func() {
-			reply, err := peer.Call[keyTransfer, transferReply](ctx, r.daemon.peers, host.Peer, peer.KindLegacy, transfer)
+			reply, err := peer.Call[keyTransfer, transferReply](ctx, r.daemon.peers, host.Peer, peer.KindKeyTransfer, transfer)
 			if err != nil || !reply.OK {
 				r.daemon.log.WithField("to", host.Host).Warn("idempotency keys not passed on")
 			}
--- a/internal/app/router/beats.go
+++ b/internal/app/router/beats.go
@@ -197,7 +197,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, heartbeatTimeout)
 	defer cancel()
-	reply, err := peer.Call[collect.Heartbeat, collect.Reply](ctx, r.router.peers, r.router.peerOf(host), peer.KindBeat, hb)
+	reply, err := peer.Call[collect.Heartbeat, collect.Reply](ctx, r.router.peers, r.router.peerOf(host), peer.KindHeartbeat, hb)
 	if err != nil {
 		r.avoid(host, err)
 	}
--- a/internal/app/router/router.go
+++ b/internal/app/router/router.go
@@ -72,7 +72,7 @@
 	r.control = newControl(r, source)
 	r.reporter = newReporter(r)
 	peer.Handle(r.peers, peer.KindRun, r.handleRun)
-	peer.Handle(r.peers, peer.KindBeat, r.reporter.handle)
+	peer.Handle(r.peers, peer.KindHeartbeat, r.reporter.handle)
 	peer.Handle(r.peers, peer.KindChanges, r.control.handleFetch)
 	r.callers = httpd.New(settings.Callers, http.HandlerFunc(r.serve), httpd.WithBodyBound(maxBodyBytes), httpd.WithMaxConns(r.maxConns()),
 		httpd.WithHeldBytes(r.heldBytes()), httpd.WithRefuser(r.refuseFault), httpd.WithClosing(r.closing))
--- a/internal/app/router/send.go
+++ b/internal/app/router/send.go
@@ -36,8 +36,8 @@
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	resp, err := e.instance.Do(ctx, &instance.Request{
-		Method: req.Method, Target: req.Target, Host: req.HTTPHost, Header: header, Body: req.Body, Deadline: deadline, Repeatable: req.Idempotent,
-		Answers: func(h http.Header) bool {
+		Method: req.Method, Target: req.Target, Host: req.HTTPHost, Header: header, Body: req.Body, Deadline: deadline, Idempotent: req.Idempotent,
+		Matches: func(h http.Header) bool {
 			id := e.heads.Answer(http.StatusOK, h).RequestID
 			return id == "" || id == req.RequestID
 		},
