--- a/internal/domain/lists/change_test.go
+++ b/internal/domain/lists/change_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// bigKeys returns a keys list of count entries; the entry at changed has another organisation.
-func bigKeys(count, changed int) []byte {
+// keysValue returns a keys list of count entries; the entry at index changed has another organisation.
+func keysValue(count, changed int) []byte {
 	var out bytes.Buffer
 	out.WriteString(`{"keys":[`)
 	for i := range count {
@@ -27,7 +27,8 @@
 	return out.Bytes()
 }
 
-func bigHosts(count int) []byte {
+// hostsValue returns a hosts list of count entries.
+func hostsValue(count int) []byte {
 	var out bytes.Buffer
 	out.WriteString(`{"hosts":[`)
 	for i := range count {
@@ -41,13 +42,13 @@
 	return out.Bytes()
 }
 
-// BenchmarkChange tells what one change of a keys list of nearly a megabyte takes
-// beside the hosts list of a fleet of the target size, from its text to a new view.
+// BenchmarkChange measures one change of a keys list of nearly a megabyte, from its text to a new view,
+// in a set that also holds the hosts list of a fleet of the target size.
 func BenchmarkChange(b *testing.B) {
 	const count = 7500
 	set := NewSet()
-	set.Offer(Value{Kind: KindHosts, Version: 1, Raw: bigHosts(3400)})
-	values := [][]byte{bigKeys(count, count/2), bigKeys(count, count/3)}
+	set.Offer(Value{Kind: KindHosts, Version: 1, Raw: hostsValue(3400)})
+	values := [][]byte{keysValue(count, count/2), keysValue(count, count/3)}
 	b.ReportAllocs()
 	version := uint64(0)
 	for b.Loop() {
@@ -59,9 +60,9 @@
 	}
 }
 
-// BenchmarkFirst tells what the first reading of both lists takes.
-func BenchmarkFirst(b *testing.B) {
-	hosts, keys := bigHosts(3400), bigKeys(7500, 0)
+// BenchmarkInitialLoad measures the first load of both lists.
+func BenchmarkInitialLoad(b *testing.B) {
+	hosts, keys := hostsValue(3400), keysValue(7500, 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		set := NewSet()
--- a/internal/domain/lists/doc.go
+++ b/internal/domain/lists/doc.go
@@ -1,3 +1,3 @@
-// Package lists holds the values that operators and the platform publish and
-// the rules by which a value is accepted as a whole or rejected as a whole.
+// Package lists defines the lists that operators and the platform publish, and
+// validates them: a value is accepted or rejected as a whole.
 package lists
--- a/internal/domain/lists/fault.go
+++ b/internal/domain/lists/fault.go
@@ -5,46 +5,49 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a published value, with its place.
+// Fault is one error in a published value and its position.
 type Fault struct {
-	// Place is the path to the entry, such as organisations[2].rate, or "line 4" where the value is not readable.
+	// Place is the path to the field, such as organisations[2].rate, or "line 4" if the value can't be parsed.
 	Place string `json:"place"`
 	Text  string `json:"text"`
 }
 
-// Faults is every fault of one value; as an error it lists them all.
+// Faults holds all faults of one value; its error text lists them all.
 type Faults []Fault
 
 // Error returns the faults on one line, separated by semicolons.
 func (f Faults) Error() string {
 	parts := make([]string, len(f))
-	for i, e := range f {
-		parts[i] = e.Place + ": " + e.Text
+	for i, fault := range f {
+		parts[i] = fault.Place + ": " + fault.Text
 	}
 	return strings.Join(parts, "; ")
 }
 
-type faults struct {
-	list Faults
+// faultList collects the faults of a value during its validation.
+type faultList struct {
+	faults Faults
 }
 
-type place struct {
-	faults *faults
-	array  string
-	index  int
+// entryRef is the position of the entry that is being validated.
+type entryRef struct {
+	list  *faultList
+	array string
+	index int
 }
 
-func (f *faults) at(array string, index int) place {
-	return place{faults: f, array: array, index: index}
+func (f *faultList) entry(array string, index int) entryRef {
+	return entryRef{list: f, array: array, index: index}
 }
 
-func (p place) add(field, format string, args ...any) {
-	path := fmt.Sprintf("%s[%d].%s", p.array, p.index, field)
-	p.faults.list = append(p.faults.list, Fault{Place: path, Text: fmt.Sprintf(format, args...)})
+func (r entryRef) addFault(field, format string, args ...any) {
+	path := fmt.Sprintf("%s[%d].%s", r.array, r.index, field)
+	r.list.faults = append(r.list.faults, Fault{Place: path, Text: fmt.Sprintf(format, args...)})
 }
 
-func (p place) name(field, value string) {
-	if value == "" || len(value) > maxName || strings.ContainsAny(value, " /\t\r\n\"") {
-		p.add(field, "must be 1 to %d characters without blanks, quotes or slashes, is %q", maxName, value)
+// checkName adds a fault if the value can't be used as a name.
+func (r entryRef) checkName(field, value string) {
+	if value == "" || len(value) > maxNameLength || strings.ContainsAny(value, " /\t\r\n\"") {
+		r.addFault(field, "must be 1 to %d characters without blanks, quotes or slashes, is %q", maxNameLength, value)
 	}
 }
--- a/internal/domain/lists/fuzz_test.go
+++ b/internal/domain/lists/fuzz_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// FuzzOffer offers values of each list: one that is accepted is accepted again as
-// it was understood, and one that is not leaves what is in force.
+// FuzzOffer offers values of each list. An accepted value is accepted again after it was parsed and
+// encoded; a rejected value leaves the value in force unchanged.
 func FuzzOffer(f *testing.F) {
 	f.Add(uint8(KindPlans), []byte(`{"organisations":[{"organisation":"dealer","plan":"full","rate":10,"burst":10}]}`))
 	f.Add(uint8(KindUses), []byte(`{"operations":[{"operation":"a","service":"s","method":"GET","path":"/","priority":"standard"}],"plans":[{"plan":"p","operations":["a"]}]}`))
@@ -23,34 +23,35 @@
 		switch verdict {
 		case Accepted:
 			if set.View().Version(k) != 1 || len(faults) > 0 {
-				t.Fatalf("accepted, but in force is version %d with faults %v", set.View().Version(k), faults)
+				t.Fatalf("accepted, but version %d is in force, with faults %v", set.View().Version(k), faults)
 			}
-			again(t, set, k)
+			reofferAccepted(t, set, k)
 		case Rejected:
 			if len(faults) == 0 || set.View().Version(k) != 0 {
-				t.Fatalf("rejected with %d faults, in force is version %d", len(faults), set.View().Version(k))
+				t.Fatalf("rejected with %d faults, but version %d is in force", len(faults), set.View().Version(k))
 			}
 		case Old:
-			t.Fatal("a first value is called old")
+			t.Fatal("the first value is reported as old")
 		}
 	})
 }
 
-func again(t *testing.T, set *Set, k Kind) {
+// reofferAccepted encodes the parsed value and requires that a new set accepts it.
+func reofferAccepted(t *testing.T, set *Set, kind Kind) {
 	value := map[Kind]any{
 		KindPlans: Plans{Organisations: set.plans.entries}, KindUses: usesOf(set.view.usesView),
 		KindKeys: Keys{Keys: set.keys.entries}, KindHosts: Hosts{Hosts: set.hosts.entries},
-	}[k]
+	}[kind]
 	raw, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if verdict, faults := NewSet().Offer(Value{Kind: k, Version: 1, Raw: raw}); verdict != Accepted {
-		t.Fatalf("not accepted again: %v", faults)
+	if verdict, faults := NewSet().Offer(Value{Kind: kind, Version: 1, Raw: raw}); verdict != Accepted {
+		t.Fatalf("the encoded value is not accepted: %v", faults)
 	}
 }
 
-// usesOf returns the list that the view was made of, in another order.
+// usesOf returns the list from which the view was built, in another order.
 func usesOf(v usesView) Uses {
 	var u Uses
 	for _, operations := range v.operations {
--- a/internal/domain/lists/hosts.go
+++ b/internal/domain/lists/hosts.go
@@ -6,10 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxAddrPort is the length of the longest IP number with a port, in bytes.
-const maxAddrPort = 64
+// maxAddrPortLength is the length of the longest IP address with a port, in bytes.
+const maxAddrPortLength = 64
 
-// Host is one upstream host with the daemon beside its upstream.
+// Host is one host that runs an upstream and the daemon local to it; Peer is the daemon's address for other daemons.
 type Host struct {
 	Host    string         `json:"host"`
 	Service string         `json:"service"`
@@ -19,38 +19,38 @@
 	Leaving bool           `json:"leaving,omitempty"`
 }
 
-// Hosts is the platform's lagging list of live and leaving hosts.
+// Hosts is the platform's list of live and leaving hosts; it lags behind the fleet.
 type Hosts struct {
 	Hosts []Host `json:"hosts"`
 }
 
-func (h *Host) check(at place) {
-	at.name("host", h.Host)
-	at.name("service", h.Service)
-	at.name("zone", h.Zone)
+func (h *Host) check(entry entryRef) {
+	entry.checkName("host", h.Host)
+	entry.checkName("service", h.Service)
+	entry.checkName("zone", h.Zone)
 	if !h.Peer.IsValid() || h.Peer.Port() == 0 {
-		at.add("peer", "must be an IP number with a port")
+		entry.addFault("peer", "must be an IP number with a port")
 	}
 }
 
-func (h *Host) marks(into []uint64) []uint64 {
-	var text [maxAddrPort]byte
-	return append(into, xxhash.Sum64String(h.Host), ^xxhash.Sum64(h.Peer.AppendTo(text[:0])))
+func (h *Host) appendHashes(hashes []uint64) []uint64 {
+	var text [maxAddrPortLength]byte
+	return append(hashes, xxhash.Sum64String(h.Host), ^xxhash.Sum64(h.Peer.AppendTo(text[:0])))
 }
 
-func (h *Hosts) check(f *faults) {
+func (h *Hosts) check(f *faultList) {
 	names := map[string]int{}
 	peers := map[netip.AddrPort]int{}
-	for i, e := range h.Hosts {
-		at := f.at("hosts", i)
-		if first, dup := names[e.Host]; dup {
-			at.add("host", "duplicate of hosts[%d] (%q)", first, e.Host)
+	for i, host := range h.Hosts {
+		entry := f.entry("hosts", i)
+		if first, dup := names[host.Host]; dup {
+			entry.addFault("host", "duplicate of hosts[%d] (%q)", first, host.Host)
 		}
-		names[e.Host] = i
-		if first, dup := peers[e.Peer]; dup {
-			at.add("peer", "same address as hosts[%d]", first)
+		names[host.Host] = i
+		if first, dup := peers[host.Peer]; dup {
+			entry.addFault("peer", "same address as hosts[%d]", first)
 		}
-		peers[e.Peer] = i
-		e.check(at)
+		peers[host.Peer] = i
+		host.check(entry)
 	}
 }
--- a/internal/domain/lists/keys.go
+++ b/internal/domain/lists/keys.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key is one organisation key, known only by its hash.
+// Key is one organisation key; only its hash is published.
 type Key struct {
 	ID           string `json:"id"`
 	Organisation string `json:"organisation"`
@@ -16,48 +16,48 @@
 	SHA256 string `json:"sha256"`
 }
 
-// Keys is the operators' list of the keys in force; a key that is not on it doesn't work.
+// Keys is the operators' list of valid keys; a key that is not listed is rejected.
 type Keys struct {
 	Keys []Key `json:"keys"`
 }
 
-// HashKey returns the hash under which a key is published.
+// HashKey returns the hash that is published for a key.
 func HashKey(key string) [sha256.Size]byte {
 	return sha256.Sum256([]byte(key))
 }
 
-// Faults returns what a list with this key alone would be rejected for.
+// Faults returns the faults of a list that contains only this key.
 func (k Key) Faults() Faults {
-	f := &faults{}
+	f := &faultList{}
 	(&Keys{Keys: []Key{k}}).check(f)
-	return f.list
+	return f.faults
 }
 
-func (k *Key) check(at place) {
-	at.name("id", k.ID)
-	at.name("organisation", k.Organisation)
+func (k *Key) check(entry entryRef) {
+	entry.checkName("id", k.ID)
+	entry.checkName("organisation", k.Organisation)
 	if len(k.SHA256) != hex.EncodedLen(sha256.Size) || strings.Trim(k.SHA256, "0123456789abcdef") != "" {
-		at.add("sha256", "must be 64 lower-case hexadecimal digits")
+		entry.addFault("sha256", "must be 64 lower-case hexadecimal digits")
 	}
 }
 
-func (k *Key) marks(into []uint64) []uint64 {
-	return append(into, xxhash.Sum64String(k.ID), ^xxhash.Sum64String(k.SHA256))
+func (k *Key) appendHashes(hashes []uint64) []uint64 {
+	return append(hashes, xxhash.Sum64String(k.ID), ^xxhash.Sum64String(k.SHA256))
 }
 
-func (k *Keys) check(f *faults) {
+func (k *Keys) check(f *faultList) {
 	ids := map[string]int{}
 	hashes := map[string]int{}
-	for i, e := range k.Keys {
-		at := f.at("keys", i)
-		if first, dup := ids[e.ID]; dup {
-			at.add("id", "duplicate of keys[%d] (%q)", first, e.ID)
+	for i, key := range k.Keys {
+		entry := f.entry("keys", i)
+		if first, dup := ids[key.ID]; dup {
+			entry.addFault("id", "duplicate of keys[%d] (%q)", first, key.ID)
 		}
-		ids[e.ID] = i
-		if first, dup := hashes[e.SHA256]; dup {
-			at.add("sha256", "same hash as keys[%d]", first)
+		ids[key.ID] = i
+		if first, dup := hashes[key.SHA256]; dup {
+			entry.addFault("sha256", "same hash as keys[%d]", first)
 		}
-		hashes[e.SHA256] = i
-		e.check(at)
+		hashes[key.SHA256] = i
+		key.check(entry)
 	}
 }
--- a/internal/domain/lists/parse.go
+++ b/internal/domain/lists/parse.go
@@ -9,18 +9,18 @@
 	"github.com/pkg/errors"
 )
 
-// checked is a published value that knows its own rules.
-type checked interface {
-	check(*faults)
+// checker is a published value that can validate itself.
+type checker interface {
+	check(*faultList)
 }
 
-// Checked is a pointer to a published value of type T.
+// Checked is a pointer to a published value of type T that can validate itself.
 type Checked[T any] interface {
 	*T
-	checked
+	checker
 }
 
-// Parse reads a value of type T and returns it, or Faults with everything that is wrong with it.
+// Parse decodes and validates a value of type T; its error is of type Faults and holds every fault.
 func Parse[T any, P Checked[T]](raw []byte) (*T, error) {
 	if len(raw) > MaxBytes {
 		return nil, Faults{{Place: "value", Text: fmt.Sprintf("is %d bytes, at most %d are allowed", len(raw), MaxBytes)}}
@@ -29,27 +29,28 @@
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(value); err != nil {
-		return nil, unreadable(raw, dec.InputOffset(), err)
+		return nil, syntaxFaults(raw, dec.InputOffset(), err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return nil, unreadable(raw, dec.InputOffset(), errors.New("more text behind the value"))
+		return nil, syntaxFaults(raw, dec.InputOffset(), errors.New("more text behind the value"))
 	}
-	f := &faults{}
+	f := &faultList{}
 	P(value).check(f)
-	if len(f.list) > 0 {
-		return nil, f.list
+	if len(f.faults) > 0 {
+		return nil, f.faults
 	}
 	return value, nil
 }
 
-func unreadable(raw []byte, offset int64, err error) Faults {
-	var syntax *json.SyntaxError
-	if errors.As(err, &syntax) {
-		offset = syntax.Offset
+// syntaxFaults returns the decoding error with its line.
+func syntaxFaults(raw []byte, offset int64, err error) Faults {
+	var syntaxErr *json.SyntaxError
+	if errors.As(err, &syntaxErr) {
+		offset = syntaxErr.Offset
 	}
-	var typed *json.UnmarshalTypeError
-	if errors.As(err, &typed) {
-		offset = typed.Offset
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		offset = typeErr.Offset
 	}
 	offset = min(offset, int64(len(raw)))
 	line := 1 + bytes.Count(raw[:offset], []byte("\n"))
--- a/internal/domain/lists/parse_test.go
+++ b/internal/domain/lists/parse_test.go
@@ -27,7 +27,7 @@
 		{"no port", KindHosts, `{"hosts":[{"host":"h","service":"s","zone":"z","peer":"127.0.0.1:0"}]}`, "hosts[0].peer", "with a port"},
 		{"too large", KindHosts, strings.Repeat(" ", 2<<20), "value", "at most 1048576"},
 	}
-	Convey("A value with a fault is rejected whole, with its place, and the last accepted one stays", t, func() {
+	Convey("A value with a fault is rejected as a whole, with the fault's position, and the last accepted value stays in force", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				set := NewSet()
@@ -44,10 +44,9 @@
 }
 
 func TestVersionsOnlyGrow(t *testing.T) {
-	// A replica of the platform that lags, or a peer that was paused, offers an
-	// older value than the one in force. Were it taken, a withdrawn key would
-	// work again and the operators would see their change revert.
-	Convey("The greatest accepted version stays in force", t, func() {
+	// Guards against accepting an older value from a lagging replica of the platform or a
+	// peer that was paused: a withdrawn key would work again and an operator's change would be undone.
+	Convey("The highest accepted version stays in force", t, func() {
 		set := NewSet()
 		steps := []struct {
 			version uint64
@@ -62,10 +61,10 @@
 			{4, `{"keys":[]}`, Accepted, 4},
 			{6, `{"keys":[]}`, Accepted, 6},
 		}
-		for _, s := range steps {
-			verdict, _ := set.Offer(Value{Kind: KindKeys, Version: s.version, Raw: []byte(s.raw)})
-			So(verdict, ShouldEqual, s.verdict)
-			So(set.View().Version(KindKeys), ShouldEqual, s.inForce)
+		for _, step := range steps {
+			verdict, _ := set.Offer(Value{Kind: KindKeys, Version: step.version, Raw: []byte(step.raw)})
+			So(verdict, ShouldEqual, step.verdict)
+			So(set.View().Version(KindKeys), ShouldEqual, step.inForce)
 		}
 	})
 }
--- a/internal/domain/lists/plans.go
+++ b/internal/domain/lists/plans.go
@@ -2,7 +2,7 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Organisation is one customer: its plan, and the rate and burst it has across the whole fleet.
+// Organisation is one customer with its plan, and its rate limit and burst across the whole fleet.
 type Organisation struct {
 	Organisation string  `json:"organisation"`
 	Plan         string  `json:"plan"`
@@ -11,45 +11,45 @@
 	Weight       int     `json:"weight,omitempty"`
 }
 
-// Plans is the operators' list of organisations; rates are requests per second, bursts whole requests.
+// Plans is the operators' list of organisations; a rate is in requests per second, a burst in requests.
 type Plans struct {
 	Organisations []Organisation `json:"organisations"`
 }
 
-// Bounds of one organisation's entry; they catch slips of the keyboard before they reach the fleet.
+// Limits of one organisation's entry; they reject typing errors before these reach the fleet.
 const (
-	maxRate   = 1e6
-	maxBurst  = 10_000_000
-	maxWeight = 1000
-	maxName   = 128
+	maxRate       = 1e6
+	maxBurst      = 10_000_000
+	maxWeight     = 1000
+	maxNameLength = 128
 )
 
-func (o *Organisation) check(at place) {
-	at.name("organisation", o.Organisation)
-	at.name("plan", o.Plan)
+func (o *Organisation) check(entry entryRef) {
+	entry.checkName("organisation", o.Organisation)
+	entry.checkName("plan", o.Plan)
 	if o.Rate <= 0 || o.Rate > maxRate {
-		at.add("rate", "must be above 0 and at most %g requests/s, is %g", maxRate, o.Rate)
+		entry.addFault("rate", "must be above 0 and at most %g requests/s, is %g", maxRate, o.Rate)
 	}
 	if o.Burst < 1 || o.Burst > maxBurst {
-		at.add("burst", "must be 1 to %d requests, is %d", maxBurst, o.Burst)
+		entry.addFault("burst", "must be 1 to %d requests, is %d", maxBurst, o.Burst)
 	}
 	if o.Weight < 0 || o.Weight > maxWeight {
-		at.add("weight", "must be 0 (default) to %d, is %d", maxWeight, o.Weight)
+		entry.addFault("weight", "must be 0 (default) to %d, is %d", maxWeight, o.Weight)
 	}
 }
 
-func (o *Organisation) marks(into []uint64) []uint64 {
-	return append(into, xxhash.Sum64String(o.Organisation))
+func (o *Organisation) appendHashes(hashes []uint64) []uint64 {
+	return append(hashes, xxhash.Sum64String(o.Organisation))
 }
 
-func (p *Plans) check(f *faults) {
+func (p *Plans) check(f *faultList) {
 	seen := map[string]int{}
 	for i, o := range p.Organisations {
-		at := f.at("organisations", i)
+		entry := f.entry("organisations", i)
 		if first, dup := seen[o.Organisation]; dup {
-			at.add("organisation", "duplicate of organisations[%d] (%q)", first, o.Organisation)
+			entry.addFault("organisation", "duplicate of organisations[%d] (%q)", first, o.Organisation)
 		}
 		seen[o.Organisation] = i
-		o.check(at)
+		o.check(entry)
 	}
 }
--- a/internal/domain/lists/set.go
+++ b/internal/domain/lists/set.go
@@ -2,11 +2,11 @@
 
 //go:generate stringer -type=Verdict -linecomment
 
-// Verdict tells what became of an offered value.
+// Verdict is the result of offering a value to a Set.
 type Verdict uint8
 
 const (
-	// Accepted means that the value is now in force.
+	// Accepted means that the value is in force now.
 	Accepted Verdict = iota // accepted
 	// Old means that a version at least as new is in force or was rejected; nothing changed.
 	Old // old
@@ -14,22 +14,22 @@
 	Rejected // rejected
 )
 
-// Value is one version of one list as it was published.
+// Value is one published version of a list, as undecoded JSON.
 type Value struct {
 	Kind    Kind
 	Version uint64
 	Raw     []byte
 }
 
-// Rejection is the newest value of a list that was not accepted.
+// Rejection is the last rejected version of a list, with its faults.
 type Rejection struct {
 	Version uint64 `json:"version"`
 	Faults  Faults `json:"faults"`
 }
 
-// Set is the aggregate of the four lists: it keeps the greatest accepted
-// version of each, so that a stale source or one that wakes late can't bring
-// an older value back in force. It belongs to the control thread.
+// Set holds the four lists. It keeps the highest accepted version of each, so
+// that a source that is stale or was paused can't put an older value back in
+// force. Only the control goroutine may use it.
 type Set struct {
 	raw      [Kinds]Value
 	rejected [Kinds]Rejection
@@ -39,15 +39,15 @@
 	view     View
 }
 
-// NewSet returns a set with nothing in force.
+// NewSet returns a set without any list in force.
 func NewSet() *Set { return &Set{} }
 
-// Offer puts the value in force if it is newer than what is there and has no faults.
+// Offer puts the value in force if it is newer than the one in force and has no faults.
 func (s *Set) Offer(v Value) (Verdict, Faults) {
 	if v.Version <= s.raw[v.Kind].Version || v.Version == s.rejected[v.Kind].Version {
 		return Old, nil
 	}
-	if err := s.parse(v); err != nil {
+	if err := s.apply(v); err != nil {
 		list, ok := err.(Faults)
 		if !ok {
 			list = Faults{{Place: "value", Text: err.Error()}}
@@ -59,12 +59,12 @@
 	return Accepted, nil
 }
 
-// parse takes the value over into the tables and the view, or returns what is wrong with it.
-func (s *Set) parse(v Value) error {
+// apply decodes the value into the tables and the view, or returns its faults.
+func (s *Set) apply(v Value) error {
 	before := s.raw[v.Kind].Raw
 	switch v.Kind {
 	case KindPlans:
-		plans, err := adopt(&s.plans, "organisations", before, v.Raw, func(p *Plans) []Organisation { return p.Organisations })
+		plans, err := load(&s.plans, "organisations", before, v.Raw, func(p *Plans) []Organisation { return p.Organisations })
 		if err != nil {
 			return err
 		}
@@ -76,13 +76,13 @@
 		}
 		s.view.usesView = newUsesView(uses)
 	case KindKeys:
-		keys, err := adopt(&s.keys, "keys", before, v.Raw, func(k *Keys) []Key { return k.Keys })
+		keys, err := load(&s.keys, "keys", before, v.Raw, func(k *Keys) []Key { return k.Keys })
 		if err != nil {
 			return err
 		}
 		s.view.keysView = newKeysView(keys)
 	case KindHosts:
-		hosts, err := adopt(&s.hosts, "hosts", before, v.Raw, func(h *Hosts) []Host { return h.Hosts })
+		hosts, err := load(&s.hosts, "hosts", before, v.Raw, func(h *Hosts) []Host { return h.Hosts })
 		if err != nil {
 			return err
 		}
@@ -91,9 +91,10 @@
 	return nil
 }
 
-// adopt reads the text after as a change of the text before, or as a whole table. What is neither is judged
-// by Parse, which alone finds faults; entriesOf is for what it accepts in another form.
-func adopt[T any, C Checked[T], E any, P ruled[E]](
+// load replaces the table by the one in the text after. It decodes only what differs from the text before if
+// it can, else the whole text as a table. If both fail it calls Parse, which reports the faults and also
+// accepts values in another form; entriesOf returns the entries of such a value.
+func load[T any, C Checked[T], E any, P checkedEntry[E]](
 	t *table[E, P], field string, before, after []byte, entriesOf func(*T) []E,
 ) ([]E, error) {
 	if len(after) <= MaxBytes {
@@ -115,13 +116,13 @@
 	return t.entries, nil
 }
 
-// Value returns the value in force of one list; version 0 means none.
+// Value returns the list's value in force; its version is 0 if there is none.
 func (s *Set) Value(k Kind) Value { return s.raw[k] }
 
-// Rejection returns the newest rejected value of one list; version 0 means none.
+// Rejection returns the list's last rejected value; its version is 0 if there is none.
 func (s *Set) Rejection(k Kind) Rejection { return s.rejected[k] }
 
-// View returns an immutable view of what is in force.
+// View returns an immutable view of the lists in force.
 func (s *Set) View() *View {
 	view := s.view
 	for k := range view.versions {
--- a/internal/domain/lists/table.go
+++ b/internal/domain/lists/table.go
@@ -9,74 +9,74 @@
 	"github.com/pkg/errors"
 )
 
-// span is the place of an entry in a value's text, as offsets in bytes.
+// span is the position of an entry in a value's text, as byte offsets.
 type span struct {
 	start, end int32
 }
 
-// ruled is an entry that knows its own rules.
-type ruled[E any] interface {
+// checkedEntry is an entry that can validate itself.
+type checkedEntry[E any] interface {
 	*E
-	check(place)
-	// marks appends a hash for each thing that no other entry may share.
-	marks(into []uint64) []uint64
+	check(entryRef)
+	// appendHashes appends a hash of each field that must be unique among all entries.
+	appendHashes(hashes []uint64) []uint64
 }
 
-// table is a value that holds one array, with the place of each entry in its text.
+// table is a value that consists of one array, with the position of each entry in its text.
 //
-// A change to one key alters some hundred bytes of a list of up to a megabyte.
-// Read as a whole each time it costs tens of milliseconds of a core and ten times its size in garbage,
-// on every daemon of the fleet. With the places of the entries only those between
-// the unchanged beginning and the unchanged end are read.
-type table[E any, P ruled[E]] struct {
+// A change to one key alters about a hundred bytes of a list of up to a megabyte.
+// Decoding the whole list each time takes tens of milliseconds of a core and allocates ten times its size,
+// on every daemon of the fleet. With the positions of the entries, only those between
+// the unchanged prefix and the unchanged suffix are decoded.
+type table[E any, P checkedEntry[E]] struct {
 	entries []E
 	spans   []span
-	// open is the offset behind the array's bracket, end that of its closing one.
-	open, end int
-	// marks holds those of all entries; nil where the table has not been read from a text.
-	marks map[uint64]struct{}
+	// arrayStart is the offset after the array's opening bracket, arrayEnd the offset of its closing bracket.
+	arrayStart, arrayEnd int
+	// hashes holds the hashes of the unique fields of all entries; nil if the table was not read from a text.
+	hashes map[uint64]struct{}
 }
 
-// errForm means that a text isn't one object with the one array; the whole value's own reading judges it.
-var errForm = errors.New("lists: not a table")
+// errNotTable means that a text is not an object with one array of unique entries; Parse decides whether it is valid.
+var errNotTable = errors.New("lists: not a table")
 
-// read reads the whole text of a table whose array has the given field name.
-// Any error means that the text must be judged by Parse.
+// read decodes the whole text of a table whose array has the given field name.
+// After any error, Parse decides whether the text is valid.
 func (t *table[E, P]) read(raw []byte, field string) error {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	for _, want := range []json.Token{json.Delim('{'), field, json.Delim('[')} {
 		if got, err := dec.Token(); err != nil || got != want {
-			return errForm
+			return errNotTable
 		}
 	}
-	t.open = int(dec.InputOffset())
+	t.arrayStart = int(dec.InputOffset())
 	t.reserve(bytes.Count(raw, []byte{'{'}), len(raw))
-	t.marks = make(map[uint64]struct{}, 2*cap(t.entries))
+	t.hashes = make(map[uint64]struct{}, 2*cap(t.entries))
 	if err := t.readEntries(dec, raw, 0); err != nil {
 		return err
 	}
-	t.end = int(dec.InputOffset()) - 1
+	t.arrayEnd = int(dec.InputOffset()) - 1
 	if got, err := dec.Token(); err != nil || got != json.Delim('}') {
-		return errForm
+		return errNotTable
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return errForm
+		return errNotTable
 	}
-	return t.judgeAll()
+	return t.checkAll()
 }
 
-// leastEntry is the length of a short entry, in bytes; it bounds what a text of brackets alone reserves.
-const leastEntry = 48
+// minEntryLength is the length of a short entry, in bytes; it limits what is allocated for a text that consists of brackets.
+const minEntryLength = 48
 
-// reserve makes room for the entries of a text with so many opening brackets, the value's own among them:
-// slices that grow while they are filled leave twice the list behind.
+// reserve allocates the slices for a text with the given number of opening brackets, including the value's own.
+// Slices that grow while they are filled would leave twice the list as garbage.
 func (t *table[E, P]) reserve(brackets, size int) {
-	count := min(brackets-1, size/leastEntry)
+	count := min(brackets-1, size/minEntryLength)
 	t.entries, t.spans = make([]E, 0, count), make([]span, 0, count)
 }
 
-// readEntries reads the entries and the bracket behind them; base is added to their places.
+// readEntries decodes the entries and the closing bracket; base is added to the entries' offsets.
 func (t *table[E, P]) readEntries(dec *json.Decoder, text []byte, base int) error {
 	for dec.More() {
 		start := skipSeparators(text, int(dec.InputOffset()))
@@ -91,226 +91,227 @@
 	return err
 }
 
-func skipSeparators(text []byte, at int) int {
-	for at < len(text) && (isBlank(text[at]) || text[at] == ',') {
-		at++
+func skipSeparators(text []byte, offset int) int {
+	for offset < len(text) && (isBlank(text[offset]) || text[offset] == ',') {
+		offset++
 	}
-	return at
+	return offset
 }
 
 func isBlank(b byte) bool { return b == ' ' || b == '\t' || b == '\r' || b == '\n' }
 
-// judgeAll checks all entries of a text that was read as a whole, and takes over their marks.
-func (t *table[E, P]) judgeAll() error {
+// checkAll validates all entries of a text that was decoded as a whole, and stores their hashes.
+func (t *table[E, P]) checkAll() error {
 	if err := checkEach[E, P](t.entries); err != nil {
 		return err
 	}
-	var few []uint64
+	var hashes []uint64
 	for i := range t.entries {
-		few = P(&t.entries[i]).marks(few[:0])
-		for _, m := range few {
-			if _, there := t.marks[m]; there {
-				return errForm
+		hashes = P(&t.entries[i]).appendHashes(hashes[:0])
+		for _, hash := range hashes {
+			if _, duplicate := t.hashes[hash]; duplicate {
+				return errNotTable
 			}
-			t.marks[m] = struct{}{}
+			t.hashes[hash] = struct{}{}
 		}
 	}
 	return nil
 }
 
-func checkEach[E any, P ruled[E]](entries []E) error {
-	f := &faults{}
+func checkEach[E any, P checkedEntry[E]](entries []E) error {
+	f := &faultList{}
 	for i := range entries {
-		P(&entries[i]).check(f.at("entry", i))
+		P(&entries[i]).check(f.entry("entry", i))
 	}
-	if len(f.list) > 0 {
-		return f.list
+	if len(f.faults) > 0 {
+		return f.faults
 	}
 	return nil
 }
 
-// judge checks the added entries by themselves and against all that stay, and takes over their marks.
-func (t *table[E, P]) judge(added, removed []E) error {
-	gone := marksOf[E, P](removed)
-	fresh := marksOf[E, P](added)
+// checkChange validates the added entries, also against those that stay, and updates the hashes.
+func (t *table[E, P]) checkChange(added, removed []E) error {
+	removedHashes := hashesOf[E, P](removed)
+	addedHashes := hashesOf[E, P](added)
 	if err := checkEach[E, P](added); err != nil {
 		return err
 	}
-	if !t.unique(fresh, gone) {
-		return errForm
+	if !t.unique(addedHashes, removedHashes) {
+		return errNotTable
 	}
-	for _, m := range gone {
-		delete(t.marks, m)
+	for _, hash := range removedHashes {
+		delete(t.hashes, hash)
 	}
-	for _, m := range fresh {
-		t.marks[m] = struct{}{}
+	for _, hash := range addedHashes {
+		t.hashes[hash] = struct{}{}
 	}
 	return nil
 }
 
-func marksOf[E any, P ruled[E]](entries []E) []uint64 {
+func hashesOf[E any, P checkedEntry[E]](entries []E) []uint64 {
 	var all []uint64
 	for i := range entries {
-		all = P(&entries[i]).marks(all)
+		all = P(&entries[i]).appendHashes(all)
 	}
 	return all
 }
 
-// unique reports whether the fresh marks differ from each other and from those that stay.
-// Two things with the same hash look like one; then the whole value is read, which tells.
-func (t *table[E, P]) unique(fresh, gone []uint64) bool {
-	leaving := make(map[uint64]bool, len(gone))
-	for _, m := range gone {
-		leaving[m] = true
-	}
-	seen := make(map[uint64]bool, len(fresh))
-	for _, m := range fresh {
-		_, there := t.marks[m]
-		if seen[m] || (there && !leaving[m]) {
+// unique reports whether the added hashes differ from each other and from those that stay.
+// On a hash collision it returns false; the whole value is decoded then, which compares the fields themselves.
+func (t *table[E, P]) unique(added, removed []uint64) bool {
+	isRemoved := make(map[uint64]bool, len(removed))
+	for _, hash := range removed {
+		isRemoved[hash] = true
+	}
+	seen := make(map[uint64]bool, len(added))
+	for _, hash := range added {
+		_, present := t.hashes[hash]
+		if seen[hash] || (present && !isRemoved[hash]) {
 			return false
 		}
-		seen[m] = true
+		seen[hash] = true
 	}
 	return true
 }
 
-// change returns the table of the text after, of which it reads what differs from the text before, its own.
-// Any error means that the text must be judged as a whole.
+// change returns the table of the text after; it decodes only what differs from the text before, which must be this
+// table's own. After any error, the text must be decoded as a whole.
 //
-// Up to the last entry of the common beginning a reader of JSON has seen the
-// same bytes in both texts, and from the first entry of the common end on it
-// will; so both texts are sound alike if what lies between is a row of entries.
+// A JSON decoder reads the same bytes in both texts up to the last entry of the common prefix, and from the first
+// entry of the common suffix on. So the text after is valid if the text between them is a sequence of entries.
 func (t *table[E, P]) change(before, after []byte) (*table[E, P], error) {
-	if t.marks == nil {
-		return nil, errForm
+	if t.hashes == nil {
+		return nil, errNotTable
 	}
-	c, ok := t.compare(before, after)
+	change, ok := t.diff(before, after)
 	if !ok {
-		return nil, errForm
+		return nil, errNotTable
 	}
-	row, at, ok := c.row(after)
+	entriesText, offset, ok := change.changedText(after)
 	if !ok {
-		return nil, errForm
+		return nil, errNotTable
 	}
-	text := append(append([]byte{'['}, row...), ']')
+	text := append(append([]byte{'['}, entriesText...), ']')
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	if _, err := dec.Token(); err != nil {
 		return nil, err
 	}
-	var middle table[E, P]
-	if err := middle.readEntries(dec, text, at-1); err != nil {
+	var changed table[E, P]
+	if err := changed.readEntries(dec, text, offset-1); err != nil {
 		return nil, err
 	}
 	if int(dec.InputOffset()) != len(text) {
-		return nil, errForm
+		return nil, errNotTable
 	}
-	if err := t.judge(middle.entries, t.entries[c.first:c.last]); err != nil {
+	if err := t.checkChange(changed.entries, t.entries[change.first:change.last]); err != nil {
 		return nil, err
 	}
-	return t.splice(&middle, c), nil
+	return t.splice(&changed, change), nil
 }
 
-func (t *table[E, P]) splice(middle *table[E, P], c cut) *table[E, P] {
-	count := c.first + len(middle.entries) + len(t.entries) - c.last
+// splice returns the table with the changed entries in place of those that the change replaces.
+func (t *table[E, P]) splice(changed *table[E, P], c textChange) *table[E, P] {
+	count := c.first + len(changed.entries) + len(t.entries) - c.last
 	out := &table[E, P]{
 		entries: make([]E, 0, count), spans: make([]span, 0, count),
-		open: t.open, end: t.end + c.shift, marks: t.marks,
+		arrayStart: t.arrayStart, arrayEnd: t.arrayEnd + c.shift, hashes: t.hashes,
 	}
-	out.entries = append(append(append(out.entries, t.entries[:c.first]...), middle.entries...), t.entries[c.last:]...)
-	out.spans = append(append(out.spans, t.spans[:c.first]...), middle.spans...)
+	out.entries = append(append(append(out.entries, t.entries[:c.first]...), changed.entries...), t.entries[c.last:]...)
+	out.spans = append(append(out.spans, t.spans[:c.first]...), changed.spans...)
 	for _, s := range t.spans[c.last:] {
 		out.spans = append(out.spans, span{s.start + int32(c.shift), s.end + int32(c.shift)})
 	}
 	return out
 }
 
-// cut tells which part of a table's text has changed.
-type cut struct {
-	// Entries from first up to last are replaced.
+// textChange describes which part of a table's text has changed.
+type textChange struct {
+	// The entries from first up to, but not including, last are replaced.
 	first, last int
-	// The text that replaces them lies from begin to end of the later value.
+	// The replacing text is at the offsets begin to end of the text after the change.
 	begin, end int
-	// shift is by how much the later value is longer, in bytes.
-	shift          int
-	before, behind bool
+	// shift is the growth of the text, in bytes.
+	shift               int
+	hasBefore, hasAfter bool
 }
 
-// compare returns what differs between the two texts, or false where it is more than entries.
-func (t *table[E, P]) compare(before, after []byte) (cut, bool) {
+// diff returns the difference of the two texts, or false if more than entries differ.
+func (t *table[E, P]) diff(before, after []byte) (textChange, bool) {
 	prefix, suffix := CommonEnds(before, after)
-	same := len(before) - suffix
-	c := cut{shift: len(after) - len(before), begin: t.open, end: t.end}
+	suffixStart := len(before) - suffix
+	c := textChange{shift: len(after) - len(before), begin: t.arrayStart, end: t.arrayEnd}
 	c.first = sort.Search(len(t.spans), func(i int) bool { return int(t.spans[i].end) > prefix })
-	c.last = max(c.first, sort.Search(len(t.spans), func(i int) bool { return int(t.spans[i].start) >= same }))
-	c.before, c.behind = c.first > 0, c.last < len(t.spans)
-	if c.before {
+	c.last = max(c.first, sort.Search(len(t.spans), func(i int) bool { return int(t.spans[i].start) >= suffixStart }))
+	c.hasBefore, c.hasAfter = c.first > 0, c.last < len(t.spans)
+	if c.hasBefore {
 		c.begin = int(t.spans[c.first-1].end)
 	}
-	if c.behind {
+	if c.hasAfter {
 		c.end = int(t.spans[c.last].start)
 	}
-	if c.begin > prefix || c.end < same {
+	if c.begin > prefix || c.end < suffixStart {
 		return c, false
 	}
 	c.end += c.shift
 	return c, true
 }
 
-// row returns the changed text without the commas that part it from the entries
-// before and behind it, and its offset; false means that these commas aren't as they must be.
-func (c cut) row(after []byte) (text []byte, at int, ok bool) {
-	at, end := c.begin, c.end
-	for at < end && isBlank(after[at]) {
-		at++
-	}
-	for at < end && isBlank(after[end-1]) {
+// changedText returns the changed text without the commas that separate it from the entries
+// before and after it, and its offset; false means that a comma is missing or misplaced.
+func (c textChange) changedText(after []byte) (text []byte, offset int, ok bool) {
+	offset, end := c.begin, c.end
+	for offset < end && isBlank(after[offset]) {
+		offset++
+	}
+	for offset < end && isBlank(after[end-1]) {
 		end--
 	}
-	if at == end {
-		return nil, at, !c.before || !c.behind
+	if offset == end {
+		return nil, offset, !c.hasBefore || !c.hasAfter
 	}
-	if c.before {
-		if after[at] != ',' {
-			return nil, at, false
+	if c.hasBefore {
+		if after[offset] != ',' {
+			return nil, offset, false
 		}
-		at++
-		if at == end {
-			return nil, at, c.behind
+		offset++
+		if offset == end {
+			return nil, offset, c.hasAfter
 		}
 	}
-	if c.behind {
+	if c.hasAfter {
 		end--
-		if after[end] != ',' || at == end {
-			return nil, at, false
+		if after[end] != ',' || offset == end {
+			return nil, offset, false
 		}
 	}
-	return after[at:end], at, true
+	return after[offset:end], offset, true
 }
 
-// compared is how many bytes are compared at once.
-const compared = 256
+// compareBlock is the number of bytes compared in one step.
+const compareBlock = 256
 
-// CommonEnds returns how many bytes two texts have in common at the beginning and, behind these, at the end.
+// CommonEnds returns the lengths of the common prefix of two texts and of the common suffix of the rest, in bytes.
 func CommonEnds(a, b []byte) (prefix, suffix int) {
-	shorter := min(len(a), len(b))
-	for prefix+compared <= shorter && bytes.Equal(a[prefix:prefix+compared], b[prefix:prefix+compared]) {
-		prefix += compared
+	maxPrefix := min(len(a), len(b))
+	for prefix+compareBlock <= maxPrefix && bytes.Equal(a[prefix:prefix+compareBlock], b[prefix:prefix+compareBlock]) {
+		prefix += compareBlock
 	}
-	for prefix < shorter && a[prefix] == b[prefix] {
+	for prefix < maxPrefix && a[prefix] == b[prefix] {
 		prefix++
 	}
-	left := shorter - prefix
-	for suffix+compared <= left && bytes.Equal(tail(a, suffix), tail(b, suffix)) {
-		suffix += compared
+	maxSuffix := maxPrefix - prefix
+	for suffix+compareBlock <= maxSuffix && bytes.Equal(suffixBlock(a, suffix), suffixBlock(b, suffix)) {
+		suffix += compareBlock
 	}
-	for suffix < left && a[len(a)-1-suffix] == b[len(b)-1-suffix] {
+	for suffix < maxSuffix && a[len(a)-1-suffix] == b[len(b)-1-suffix] {
 		suffix++
 	}
 	return prefix, suffix
 }
 
-func tail(text []byte, suffix int) []byte {
+// suffixBlock returns the block of text before its last suffix bytes.
+func suffixBlock(text []byte, suffix int) []byte {
 	end := len(text) - suffix
-	return text[end-compared : end]
+	return text[end-compareBlock : end]
 }
--- a/internal/domain/lists/table_test.go
+++ b/internal/domain/lists/table_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// pieces are what random texts of a plans list are made of, sound or not.
-var pieces = []string{
+// fragments are the pieces of random texts of a plans list, valid and invalid.
+var fragments = []string{
 	`{"organisation":"a","plan":"p","rate":1,"burst":1}`,
 	`{"organisation":"b","plan":"p","rate":1,"burst":1}`,
 	`{"organisation":"a","plan":"q","rate":2,"burst":1, "weight" : 3}`,
@@ -24,41 +24,40 @@
 }
 
 func drawPlans(t *rapid.T) []byte {
-	rows := rapid.SliceOfN(rapid.SampledFrom(pieces[:6]), 0, 5).Draw(t, "rows")
+	rows := rapid.SliceOfN(rapid.SampledFrom(fragments[:6]), 0, 5).Draw(t, "rows")
 	return []byte(`{"organisations":[` + strings.Join(rows, ",") + "]}")
 }
 
-// edit alters a text: a piece or a byte comes in somewhere, or something goes.
+// edit inserts a fragment into a text, deletes bytes, or both, one to three times.
 func edit(t *rapid.T, raw []byte) []byte {
 	out := bytes.Clone(raw)
 	for range rapid.IntRange(1, 3).Draw(t, "edits") {
-		at := rapid.IntRange(0, len(out)).Draw(t, "at")
-		end := min(len(out), at+rapid.SampledFrom([]int{0, 0, 1, 2, 51, 52}).Draw(t, "cut"))
-		out = slices.Concat(out[:at], []byte(rapid.SampledFrom(pieces).Draw(t, "piece")), out[end:])
+		start := rapid.IntRange(0, len(out)).Draw(t, "start")
+		end := min(len(out), start+rapid.SampledFrom([]int{0, 0, 1, 2, 51, 52}).Draw(t, "deleted bytes"))
+		out = slices.Concat(out[:start], []byte(rapid.SampledFrom(fragments).Draw(t, "fragment")), out[end:])
 	}
 	return out
 }
 
-func TestChangedTextsAreJudgedLikeWholeOnes(t *testing.T) {
-	// Daemons of one fleet come to a version by different ways: one reads it whole at its
-	// start, others as a change of what they had. Were they to judge it
-	// differently, a part of the fleet would stay on another list for good.
-	Convey("A value has the same verdict, faults and entries whether it comes first or after others", t, func() {
+func TestChangedTextsAreCheckedLikeWholeOnes(t *testing.T) {
+	// Guards against daemons that disagree whether a version is valid because one decodes it as a whole at its
+	// start and others as a change: some of the fleet would keep another list forever.
+	Convey("A value has the same verdict, faults and entries whether it is the first one or follows others", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			set := NewSet()
 			raw := drawPlans(t)
 			for version := range uint64(rapid.IntRange(2, 8).Draw(t, "versions")) {
 				v := Value{Kind: KindPlans, Version: version + 1, Raw: raw}
 				verdict, faults := set.Offer(v)
-				fresh := NewSet()
-				wanted, wantedFaults := fresh.Offer(v)
-				if verdict != wanted || fmt.Sprint(faults) != fmt.Sprint(wantedFaults) {
-					t.Fatalf("%s: %v %v, alone %v %v", raw, verdict, faults, wanted, wantedFaults)
+				reference := NewSet()
+				wantVerdict, wantFaults := reference.Offer(v)
+				if verdict != wantVerdict || fmt.Sprint(faults) != fmt.Sprint(wantFaults) {
+					t.Fatalf("%s: %v %v, want %v %v as in a new set", raw, verdict, faults, wantVerdict, wantFaults)
 				}
-				if verdict == Accepted && !slices.Equal(set.plans.entries, fresh.plans.entries) {
-					t.Fatalf("%s: %v, alone %v", raw, set.plans.entries, fresh.plans.entries)
+				if verdict == Accepted && !slices.Equal(set.plans.entries, reference.plans.entries) {
+					t.Fatalf("%s: %v, want %v as in a new set", raw, set.plans.entries, reference.plans.entries)
 				}
-				if rapid.IntRange(0, 3).Draw(t, "anew") == 0 {
+				if rapid.IntRange(0, 3).Draw(t, "new text") == 0 {
 					raw = drawPlans(t)
 				} else {
 					raw = edit(t, set.Value(KindPlans).Raw)
@@ -68,7 +67,7 @@
 	})
 }
 
-func TestOnlyWhatChangedIsRead(t *testing.T) {
+func TestOnlyChangedEntriesAreDecoded(t *testing.T) {
 	entry := func(id string) string {
 		hash := HashKey(id)
 		return fmt.Sprintf(`{"id":"%s","organisation":"o","sha256":"%x"}`, id, hash)
@@ -83,34 +82,34 @@
 	cases := []struct {
 		name          string
 		before, after []byte
-		changes       bool
+		readable      bool
 	}{
-		{"one in the middle", list("a", "b", "c"), list("a", "x", "c"), true},
-		{"the first goes", list("a", "b", "c"), list("b", "c"), true},
-		{"the last goes", list("a", "b", "c"), list("a", "b"), true},
-		{"one more at the end", list("a", "b"), list("a", "b", "c"), true},
-		{"one more at the beginning", list("b", "c"), list("a", "b", "c"), true},
-		{"the first of all", list(), list("a"), true},
-		{"the last of all", list("a"), list(), true},
+		{"one replaced in the middle", list("a", "b", "c"), list("a", "x", "c"), true},
+		{"the first removed", list("a", "b", "c"), list("b", "c"), true},
+		{"the last removed", list("a", "b", "c"), list("a", "b"), true},
+		{"one added at the end", list("a", "b"), list("a", "b", "c"), true},
+		{"one added at the beginning", list("b", "c"), list("a", "b", "c"), true},
+		{"the first entry of an empty list", list(), list("a"), true},
+		{"the only entry removed", list("a"), list(), true},
 		{"a duplicate", list("a", "b", "c"), list("a", "c", "c"), false},
 		{"another field", list("a"), []byte(`{"Keys":[` + entry("a") + "]}\n"), false},
 		{"more text", list("a"), append(list("a"), 'x'), false},
 	}
-	Convey("A change of some entries is read without the others, and anything else as a whole", t, func() {
+	Convey("A change of some entries is decoded without the others, any other change only as a whole", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				var before, whole table[Key, *Key]
 				So(before.read(c.before, "keys"), ShouldBeNil)
 				after, err := before.change(c.before, c.after)
-				So(err == nil, ShouldEqual, c.changes)
+				So(err == nil, ShouldEqual, c.readable)
 				if err != nil {
 					return
 				}
 				So(whole.read(c.after, "keys"), ShouldBeNil)
 				So(slices.Equal(after.entries, whole.entries), ShouldBeTrue)
 				So(slices.Equal(after.spans, whole.spans), ShouldBeTrue)
-				So(after.end, ShouldEqual, whole.end)
-				So(after.marks, ShouldResemble, whole.marks)
+				So(after.arrayEnd, ShouldEqual, whole.arrayEnd)
+				So(after.hashes, ShouldResemble, whole.hashes)
 			})
 		}
 	})
--- a/internal/domain/lists/view.go
+++ b/internal/domain/lists/view.go
@@ -11,9 +11,9 @@
 	"strings"
 )
 
-// View is an immutable join of the four lists in force; traffic reads it without locks.
+// View is an immutable snapshot of the four lists in force; requests read it without locks.
 //
-// Views share the part of each list that stays the same between them.
+// Successive views share the data of each list that has not changed.
 type View struct {
 	versions [Kinds]uint64
 	plansView
@@ -31,7 +31,7 @@
 	grants     map[string]map[string]bool
 }
 
-// keysView holds the keys in the order of their hashes.
+// keysView holds the keys, sorted by hash.
 type keysView struct {
 	keys []keyEntry
 }
@@ -41,7 +41,7 @@
 	organisation string
 }
 
-// hostsView holds the hosts in the list's order; byName has their places in it.
+// hostsView holds the hosts in the order of the list; byName holds their indexes in it.
 type hostsView struct {
 	hosts     []Host
 	byName    map[string]int32
@@ -84,11 +84,11 @@
 		slices.SortStableFunc(ops, func(a, b Operation) int { return len(b.Path) - len(a.Path) })
 	}
 	for _, g := range u.Plans {
-		set := map[string]bool{}
+		allowed := map[string]bool{}
 		for _, name := range g.Operations {
-			set[name] = true
+			allowed[name] = true
 		}
-		v.grants[g.Plan] = set
+		v.grants[g.Plan] = allowed
 	}
 	return v
 }
@@ -113,13 +113,13 @@
 	return v
 }
 
-// Version returns the version in force of one list; 0 means none.
+// Version returns the list's version in force; 0 means none.
 func (v *View) Version(k Kind) uint64 { return v.versions[k] }
 
-// Versions returns the versions in force of all lists.
+// Versions returns the versions in force of all lists, 0 for none.
 func (v *View) Versions() [Kinds]uint64 { return v.versions }
 
-// Complete reports whether a value of every list is in force.
+// Complete reports whether every list has a value in force.
 func (v *View) Complete() bool { return !slices.Contains(v.versions[:], 0) }
 
 // Organisation returns the organisation's entry, or false.
@@ -139,24 +139,24 @@
 
 // Authenticate returns the organisation that the key belongs to, or false.
 //
-// Candidates are found by the hash's first bytes and compared in constant
-// time, so that answer times tell nothing of a key in force.
+// Candidates are found by the first bytes of the hash and compared in constant
+// time, so that response times reveal nothing about valid keys.
 func (v *View) Authenticate(key string) (string, bool) {
 	hash := HashKey(key)
-	first := binary.BigEndian.Uint64(hash[:])
-	at, _ := slices.BinarySearchFunc(v.keys, first, func(e keyEntry, first uint64) int {
-		return cmp.Compare(binary.BigEndian.Uint64(e.hash[:]), first)
+	prefix := binary.BigEndian.Uint64(hash[:])
+	index, _ := slices.BinarySearchFunc(v.keys, prefix, func(e keyEntry, prefix uint64) int {
+		return cmp.Compare(binary.BigEndian.Uint64(e.hash[:]), prefix)
 	})
 	organisation := ""
-	for ; at < len(v.keys) && binary.BigEndian.Uint64(v.keys[at].hash[:]) == first; at++ {
-		if subtle.ConstantTimeCompare(v.keys[at].hash[:], hash[:]) == 1 {
-			organisation = v.keys[at].organisation
+	for ; index < len(v.keys) && binary.BigEndian.Uint64(v.keys[index].hash[:]) == prefix; index++ {
+		if subtle.ConstantTimeCompare(v.keys[index].hash[:], hash[:]) == 1 {
+			organisation = v.keys[index].organisation
 		}
 	}
 	return organisation, organisation != ""
 }
 
-// Operation returns the operation with the longest path that matches, or false.
+// Operation returns the matching operation with the longest path, or false.
 func (v *View) Operation(service, method, path string) (Operation, bool) {
 	for _, o := range v.operations[service] {
 		if o.Method == method && matches(path, o.Path) {
@@ -166,7 +166,7 @@
 	return Operation{}, false
 }
 
-// matches reports whether prefix covers whole segments of path.
+// matches reports whether prefix consists of whole leading segments of path.
 func matches(path, prefix string) bool {
 	rest, ok := strings.CutPrefix(path, prefix)
 	return ok && (rest == "" || strings.HasSuffix(prefix, "/") || rest[0] == '/')
@@ -185,9 +185,9 @@
 
 // Host returns the host with the given name, or false.
 func (v *View) Host(name string) (Host, bool) {
-	at, ok := v.byName[name]
+	index, ok := v.byName[name]
 	if !ok {
 		return Host{}, false
 	}
-	return v.hosts[at], true
+	return v.hosts[index], true
 }
--- a/internal/domain/lists/view_test.go
+++ b/internal/domain/lists/view_test.go
@@ -25,7 +25,7 @@
 		{"s", "POST", "/cars", ""},
 		{"other", "GET", "/cars", ""},
 	}
-	Convey("The longest path that covers whole segments names the operation", t, func() {
+	Convey("The operation with the longest path of whole segments matches", t, func() {
 		for _, c := range cases {
 			op, ok := view.Operation(c.service, c.method, c.path)
 			So(ok, ShouldEqual, c.want != "")
@@ -40,7 +40,7 @@
 		&Plans{Organisations: []Organisation{{Organisation: "a", Plan: "p", Rate: 1, Burst: 1}}},
 		&Uses{Plans: []Grant{{Plan: "p", Operations: []string{"o"}}}},
 		&Keys{Keys: []Key{{ID: "k", Organisation: "a", SHA256: hex.EncodeToString(hash[:])}}}, nil)
-	Convey("A key stands for one organisation, whose plan says what it may use", t, func() {
+	Convey("A key belongs to one organisation, whose plan determines the allowed operations", t, func() {
 		organisation, ok := view.Authenticate("right")
 		So(ok, ShouldBeTrue)
 		So(organisation, ShouldEqual, "a")
