--- a/internal/domain/routing/config.go
+++ b/internal/domain/routing/config.go
@@ -10,19 +10,19 @@
 
 //go:generate stringer -type=Repeat -linecomment
 
-// Repeat tells how often one request may be run.
+// Repeat says whether the requests of a route may be retried after they may have run.
 type Repeat uint8
 
 const (
-	// Idempotent requests may run more than once.
+	// Idempotent is for requests that may run more than once.
 	Idempotent Repeat = iota // idempotent
 	// Once is for requests that may run at most once.
 	Once // once
-	// Upload is for large bodies that may run at most once.
+	// Upload is for requests with large bodies that may run at most once.
 	Upload // upload
 )
 
-// Config is one version of the operator's configuration.
+// Config is one version of the operator's routing configuration.
 type Config struct {
 	Version       uint64
 	Routes        []Route
@@ -30,59 +30,59 @@
 	Organisations []Organisation
 	// Limits bound what callers may send.
 	Limits Limits
-	// Notes tell what of the publication is not understood and is served all the same.
+	// Notes describe parts of the published configuration that were not understood but don't prevent serving it.
 	Notes []string
 }
 
-// Route says where the requests below one path of a host go.
+// Route says to which services the requests below one path of a host go.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Repeat Repeat
-	// Parts are the services that share the route's requests; most routes have one.
+	// Parts are the services among which the route's requests are split by weight; most routes have one.
 	Parts []Part
-	// Attempts is the most instances that one request may be sent to, at least 1.
+	// Attempts is the maximum number of instances that one request may be sent to, at least 1.
 	Attempts int
-	// Timeout is the longest that a caller may be kept waiting; 0 is without bound.
+	// Timeout is the longest time that a caller may wait for a response; 0 means no limit.
 	Timeout time.Duration
-	// Target is the time within which an answer is as good as it can be; 0 is unknown.
+	// Target is the target latency: a faster response has no more value. 0 means that it is unknown.
 	Target time.Duration
-	// Rank orders requests when not all can be served; 0 goes first.
+	// Rank orders requests under overload; 0 has the highest precedence.
 	Rank int
-	// Public routes take requests without a key.
+	// Public routes accept requests without a key.
 	Public bool
-	// Fault tells why the route can't be served; its callers are told to come back.
+	// Fault is the reason why the route can't be served; its callers are asked to retry later. It is empty for a valid route.
 	Fault string
 }
 
-// Part is one service's share of a route's requests.
+// Part is one service of a route, with its weight in the split of the route's requests.
 type Part struct {
 	Service string
 	Weight  int
 }
 
-// Service is what all instances of a service have in common.
+// Service holds the settings that all instances of a service share.
 type Service struct {
-	// Health is the path that tells whether an instance is well.
+	// Health is the path of an instance's health check.
 	Health string
-	// MaxConnections bounds the connections that one instance takes from all callers.
+	// MaxConnections limits the connections that one instance accepts from all callers.
 	MaxConnections int
 }
 
-// Organisation is a customer with its keys and its rate over the whole fleet.
+// Organisation is a customer with its keys and its rate limit over the whole fleet.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Ranked tells whether Rank goes before the rank of the route.
+	// Ranked says whether Rank takes precedence over the rank of the route.
 	Ranked bool
 	Rank   int
-	// Rate is in requests a second, 0 for no limit; Burst is in requests.
+	// Rate is in requests per second, 0 for no limit; Burst is in requests.
 	Rate  float64
 	Burst float64
 }
 
-// Limits bound what callers may send, and how long they may take or stay idle; 0 is without bound.
+// Limits limit the size of requests, the time that a head may take to arrive, and the idle time of connections; 0 means no limit.
 type Limits struct {
 	HeadBytes   int
 	BodyBytes   int
@@ -92,19 +92,19 @@
 
 // Check returns why the configuration can't be put in force, or nil.
 //
-// Only what would let a request pass for that of another organisation, leaves it open which configuration is newer, or
-// serves nobody keeps all of it out. A fault of one route costs the callers of that route alone: see Settle.
+// A configuration is rejected as a whole only if requests could be attributed to the wrong organisation, if it can't be
+// ordered by version, or if none of its routes can be served. A fault of one route affects only its callers: see Settle.
 func (c *Config) Check() error {
 	if c.Version == 0 {
-		return errors.New("routing: version 0")
+		return errors.New("routing: version 0, expected at least 1")
 	}
-	owners := map[string]string{}
+	organisationByKey := map[string]string{}
 	for _, o := range c.Organisations {
 		for _, key := range o.Keys {
-			if other, taken := owners[key]; taken && other != o.Name {
+			if other, assigned := organisationByKey[key]; assigned && other != o.Name {
 				return errors.Errorf("routing: organisations %q and %q share a key", other, o.Name)
 			}
-			owners[key] = o.Name
+			organisationByKey[key] = o.Name
 		}
 	}
 	if len(c.Routes) > 0 && !slices.ContainsFunc(c.Routes, func(r Route) bool { return r.fault(c.Services) == "" }) {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// Settle sets the fault of each route that can't be served, and returns the faults.
+// Settle sets Fault of each route that can't be served, and returns these faults.
 func (c *Config) Settle() []string {
 	var faults []string
 	for i := range c.Routes {
@@ -126,18 +126,19 @@
 	return faults
 }
 
-// addressed reports whether the route says which requests are its own.
-func (r *Route) addressed() bool {
+// matchable reports whether the route has a host and a prefix that requests can match.
+func (r *Route) matchable() bool {
 	return r.Host != "" && len(r.Prefix) > 0 && r.Prefix[0] == '/' && r.Prefix[len(r.Prefix)-1] == '/'
 }
 
+// fault returns why the route can't be served, or an empty text.
 func (r *Route) fault(services map[string]Service) string {
 	switch {
 	case r.Fault != "":
 		return r.Fault
 	case r.Host == "":
 		return "no host"
-	case !r.addressed():
+	case !r.matchable():
 		return fmt.Sprintf("prefix %q doesn't begin and end with a slash", r.Prefix)
 	case len(r.Parts) == 0:
 		return "goes to no service"
@@ -147,7 +148,7 @@
 			return fmt.Sprintf("goes to service %q, which is not listed", p.Service)
 		}
 		if p.Weight < 0 {
-			return fmt.Sprintf("has weight %d", p.Weight)
+			return fmt.Sprintf("weight %d is negative", p.Weight)
 		}
 	}
 	return ""
--- a/internal/domain/routing/doc.go
+++ b/internal/domain/routing/doc.go
@@ -1,4 +1,4 @@
-// Package routing holds what operators and instances publish about a service
-// mesh: routes, services, organisations and live instances, and how a request
-// finds its route.
+// Package routing defines what operators and instances publish about a service
+// mesh (routes, services, organisations and live instances), and matches
+// requests to routes.
 package routing
--- a/internal/domain/routing/instance.go
+++ b/internal/domain/routing/instance.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Instance is what one running copy of a service says of itself.
+// Instance is the published state of one running copy of a service.
 type Instance struct {
 	ID      string
 	Service string
 	Zone    string
 	Address netip.AddrPort
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it can run at the same time.
 	Slots int
-	// Draining instances finish what they have and get nothing new.
+	// Draining instances finish their requests and receive no new ones.
 	Draining bool
-	// ColdFor is how much longer it stays slow after its start, counted from when it said so.
+	// ColdFor is the remaining warm-up time, during which it is slow, as of the publication.
 	ColdFor time.Duration
-	// Born is when it started, zero if it doesn't say; one that starts again under its id has another.
+	// Born is its start time, zero if not published; it differs after a restart under the same id.
 	Born time.Time
 }
 
-// Incarnation tells one start of an instance from others under the same id.
+// Incarnation identifies one start of an instance, as opposed to other starts under the same id.
 type Incarnation struct {
 	ID   string
 	Born time.Time
 }
 
-// Incarnation returns which start of the instance this is.
+// Incarnation identifies this start of the instance.
 func (i *Instance) Incarnation() Incarnation { return Incarnation{ID: i.ID, Born: i.Born} }
--- a/internal/domain/routing/table.go
+++ b/internal/domain/routing/table.go
@@ -9,20 +9,20 @@
 	"strings"
 )
 
-// Table is a configuration made ready for look-ups; it is immutable.
+// Table is an immutable index of a configuration for look-ups.
 type Table struct {
 	config        Config
 	hosts         map[string][]*Route
 	organisations map[[sha256.Size]byte]*Organisation
 	byName        map[string]*Organisation
 	routes        map[string]*Route
-	standings     map[rank]float64
+	relativeRanks map[rankPair]float64
 }
 
-// rank is that of an organisation, if it has one of its own, and that of a route.
-type rank struct{ organisation, route int }
+// rankPair holds the rank of an organisation and that of a route; an organisation without a rank has that of the route.
+type rankPair struct{ organisation, route int }
 
-// NewTable returns the table of a configuration, which must not be changed afterwards.
+// NewTable returns the table of a configuration; the caller must not change the configuration afterwards.
 func NewTable(c Config) *Table {
 	t := &Table{
 		config:        c,
@@ -34,7 +34,7 @@
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		t.routes[r.Name] = r
-		if !r.addressed() {
+		if !r.matchable() {
 			continue
 		}
 		host := strings.ToLower(r.Host)
@@ -50,39 +50,40 @@
 			t.organisations[sha256.Sum256([]byte(key))] = o
 		}
 	}
-	t.standings = standings(&c)
+	t.relativeRanks = relativeRanks(&c)
 	return t
 }
 
-// standings orders all ranks that occur together, from 0 for the first to 1 for the last.
-func standings(c *Config) map[rank]float64 {
-	occurring := map[rank]float64{}
+// relativeRanks returns the position of every possible pair of ranks in their order, from 0 for the first to 1 for the last.
+func relativeRanks(c *Config) map[rankPair]float64 {
+	ranks := map[rankPair]float64{}
 	for i := range c.Routes {
-		occurring[rank{c.Routes[i].Rank, c.Routes[i].Rank}] = 0
+		ranks[rankPair{c.Routes[i].Rank, c.Routes[i].Rank}] = 0
 		for j := range c.Organisations {
-			occurring[rankOf(&c.Routes[i], &c.Organisations[j])] = 0
+			ranks[rankOf(&c.Routes[i], &c.Organisations[j])] = 0
 		}
 	}
-	order := slices.SortedFunc(maps.Keys(occurring), func(a, b rank) int {
+	order := slices.SortedFunc(maps.Keys(ranks), func(a, b rankPair) int {
 		return cmp.Or(cmp.Compare(a.organisation, b.organisation), cmp.Compare(a.route, b.route))
 	})
-	for at, r := range order {
-		occurring[r] = float64(at) / float64(max(len(order)-1, 1))
+	for position, r := range order {
+		ranks[r] = float64(position) / float64(max(len(order)-1, 1))
 	}
-	return occurring
+	return ranks
 }
 
-func rankOf(route *Route, organisation *Organisation) rank {
+// rankOf returns the ranks of the organisation's requests on the route; organisation may be nil.
+func rankOf(route *Route, organisation *Organisation) rankPair {
 	if organisation != nil && organisation.Ranked {
-		return rank{organisation.Rank, route.Rank}
+		return rankPair{organisation.Rank, route.Rank}
 	}
-	return rank{route.Rank, route.Rank}
+	return rankPair{route.Rank, route.Rank}
 }
 
-// RelativeRank tells where the organisation's requests on the route stand among all that are configured, from 0 for those that go first to
-// 1 for the last. Where all organisations have the same rank, only the routes tell them apart.
+// RelativeRank returns the position of the organisation's requests on the route among all configured ranks, from 0 for the highest
+// precedence to 1 for the lowest. If all organisations have the same rank, it depends only on the route.
 func (t *Table) RelativeRank(route *Route, organisation *Organisation) float64 {
-	return t.standings[rankOf(route, organisation)]
+	return t.relativeRanks[rankOf(route, organisation)]
 }
 
 // Version returns the version of the configuration.
@@ -91,7 +92,7 @@
 // Config returns the configuration; it must not be changed.
 func (t *Table) Config() *Config { return &t.config }
 
-// Match returns the host's route with the longest prefix that begins the path, or false.
+// Match returns the host's route with the longest prefix of the path, or false.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	for _, r := range t.hosts[hostname(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -101,7 +102,7 @@
 	return nil, false
 }
 
-// Shares returns the services of a route with their parts of its requests; none for a route that doesn't exist.
+// Shares returns the services of a route with their shares of its requests; nil if the route doesn't exist.
 func (t *Table) Shares(name string) map[string]float64 {
 	r, ok := t.routes[name]
 	if !ok {
@@ -120,20 +121,20 @@
 	return shares
 }
 
-// hostname drops the port of a Host header and folds its case.
+// hostname returns a Host header without its port, in lower case.
 func hostname(host string) string {
-	if at := strings.LastIndexByte(host, ':'); at > 0 && !strings.HasSuffix(host, "]") {
-		host = host[:at]
+	if colon := strings.LastIndexByte(host, ':'); colon > 0 && !strings.HasSuffix(host, "]") {
+		host = host[:colon]
 	}
 	return strings.ToLower(host)
 }
 
-// Keyed reports whether requests need a key at all.
+// Keyed reports whether requests need a key: they do once any organisation is configured.
 func (t *Table) Keyed() bool { return len(t.config.Organisations) > 0 }
 
-// Authenticate returns the organisation that holds the key, or false.
+// Authenticate returns the organisation that the key belongs to, or false.
 //
-// Keys are looked up by their hash, so that the time of an answer tells nothing of a key in force.
+// Keys are looked up by their hash, so that response times reveal nothing about valid keys.
 func (t *Table) Authenticate(key string) (*Organisation, bool) {
 	hash := sha256.Sum256([]byte(key))
 	o, ok := t.organisations[hash]
@@ -148,7 +149,7 @@
 	return nil, false
 }
 
-// Organisation returns the organisation with the name, or false.
+// Organisation returns the organisation with the given name, or false.
 func (t *Table) Organisation(name string) (*Organisation, bool) {
 	o, ok := t.byName[name]
 	return o, ok
--- a/internal/domain/routing/table_test.go
+++ b/internal/domain/routing/table_test.go
@@ -12,7 +12,7 @@
 		{Name: "long", Host: "a.example", Prefix: "/x/y/", Parts: []Part{{Service: "s", Weight: 9}, {Service: "t", Weight: 1}, {Service: "u", Weight: 0}}},
 		{Name: "all", Host: "b.example", Prefix: "/", Parts: []Part{{Service: "t", Weight: 1}}},
 	}, Organisations: []Organisation{{Name: "o", Keys: []string{"k1", "k2"}}}})
-	Convey("The host's route with the longest prefix is found", t, func() {
+	Convey("The host's route with the longest prefix matches", t, func() {
 		for _, c := range []struct{ host, path, route string }{
 			{"a.example", "/x/1", "short"},
 			{"a.example", "/x/y/1", "long"},
@@ -31,33 +31,33 @@
 			}
 		}
 	})
-	Convey("Each key in force has its organisation, and no other key has", t, func() {
+	Convey("Each valid key belongs to its organisation, and no other key is accepted", t, func() {
 		for key, known := range map[string]bool{"k1": true, "k2": true, "": false, "k": false, "k1 ": false} {
 			_, ok := table.Authenticate(key)
 			So(ok, ShouldEqual, known)
 		}
 	})
-	Convey("A route's services have their shares", t, func() {
+	Convey("The services of a route have shares by weight", t, func() {
 		So(table.Shares("long"), ShouldResemble, map[string]float64{"s": 0.9, "t": 0.1})
 		So(table.Shares("nothing"), ShouldBeNil)
 	})
 }
 
-func sound() Config {
+func validConfig() Config {
 	return Config{Version: 3, Services: map[string]Service{"s": {}}, Routes: []Route{
 		{Name: "r", Host: "h", Prefix: "/x/", Parts: []Part{{Service: "s", Weight: 1}}},
 		{Name: "short", Host: "h", Prefix: "/", Parts: []Part{{Service: "s", Weight: 1}}},
 	}, Organisations: []Organisation{{Name: "o", Keys: []string{"k"}}}}
 }
 
-func TestConfigurationsThatStayOut(t *testing.T) {
-	// Guards against a request that passes for another organisation's, and against going back to an older version.
-	Convey("What is unclear for all callers keeps the configuration out", t, func() {
-		c := sound()
+func TestRejectedConfigurations(t *testing.T) {
+	// Guards against requests that are attributed to the wrong organisation, and against going back to an older version.
+	Convey("A fault that affects all callers rejects the whole configuration", t, func() {
+		c := validConfig()
 		So(c.Check(), ShouldBeNil)
 		for _, c := range []struct {
-			says  string
-			spoil func(*Config)
+			want   string
+			change func(*Config)
 		}{
 			{"version 0", func(c *Config) { c.Version = 0 }},
 			{"share a key", func(c *Config) {
@@ -65,23 +65,23 @@
 			}},
 			{"none of 2 routes", func(c *Config) { c.Services = nil }},
 		} {
-			spoilt := sound()
-			c.spoil(&spoilt)
-			So(spoilt.Check(), ShouldNotBeNil)
-			So(spoilt.Check().Error(), ShouldContainSubstring, c.says)
+			config := validConfig()
+			c.change(&config)
+			So(config.Check(), ShouldNotBeNil)
+			So(config.Check().Error(), ShouldContainSubstring, c.want)
 		}
 	})
 }
 
 func TestFaultyRoutes(t *testing.T) {
-	// Guards against one faulty route stopping all routes of the fleet, and against its requests going where a shorter prefix leads.
-	Convey("A faulty route is told of, and the others are served", t, func() {
-		c := sound()
+	// Guards against one faulty route that stops all routes of the fleet, and against its requests going to a route with a shorter prefix.
+	Convey("A faulty route is reported, and the others are served", t, func() {
+		c := validConfig()
 		So(c.Settle(), ShouldBeEmpty)
 		for _, c := range []struct {
-			says  string
-			found bool
-			spoil func(*Route)
+			want   string
+			found  bool
+			change func(*Route)
 		}{
 			{"no host", false, func(r *Route) { r.Host = "" }},
 			{"slash", false, func(r *Route) { r.Prefix = "/x" }},
@@ -91,13 +91,13 @@
 			{"weight -1", true, func(r *Route) { r.Parts[0].Weight = -1 }},
 			{"unreadable", true, func(r *Route) { r.Fault = "unreadable" }},
 		} {
-			spoilt := sound()
-			c.spoil(&spoilt.Routes[0])
-			So(spoilt.Check(), ShouldBeNil)
-			faults := spoilt.Settle()
+			config := validConfig()
+			c.change(&config.Routes[0])
+			So(config.Check(), ShouldBeNil)
+			faults := config.Settle()
 			So(faults, ShouldHaveLength, 1)
-			So(faults[0], ShouldContainSubstring, c.says)
-			table := NewTable(spoilt)
+			So(faults[0], ShouldContainSubstring, c.want)
+			table := NewTable(config)
 			route, ok := table.Match("h", "/x/1")
 			So(ok, ShouldBeTrue)
 			So(route.Fault != "", ShouldEqual, c.found)
@@ -108,16 +108,16 @@
 	})
 }
 
-func TestStanding(t *testing.T) {
+func TestRelativeRank(t *testing.T) {
 	routes := []Route{{Name: "first"}, {Name: "second", Rank: 1}, {Name: "third", Rank: 2}}
-	// Guards against a queue that can't tell routes apart because all organisations have one rank.
-	Convey("Where organisations are alike, the routes' ranks count", t, func() {
+	// Guards against a queue that can't order routes because all organisations have the same rank.
+	Convey("If all organisations have the same rank, the routes' ranks decide", t, func() {
 		table := NewTable(Config{Routes: routes, Organisations: []Organisation{{Name: "a", Ranked: true, Rank: 1}, {Name: "b", Ranked: true, Rank: 1}}})
 		o, _ := table.Organisation("a")
 		So(table.RelativeRank(&routes[0], o), ShouldBeLessThan, table.RelativeRank(&routes[1], o))
 		So(table.RelativeRank(&routes[1], o), ShouldBeLessThan, table.RelativeRank(&routes[2], o))
 	})
-	Convey("Otherwise the organisation's goes first", t, func() {
+	Convey("Otherwise the organisation's rank takes precedence", t, func() {
 		table := NewTable(Config{Routes: routes, Organisations: []Organisation{{Name: "a", Ranked: true}, {Name: "b", Ranked: true, Rank: 2}}})
 		a, _ := table.Organisation("a")
 		b, _ := table.Organisation("b")
