--- a/internal/wire/loops/await.go
+++ b/internal/wire/loops/await.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// probe marks a connection of the process with itself that shows that a loop runs.
+// probe is the session of a connection of the process to itself, which shows that an event loop runs.
 type probe struct {
 	once     sync.Once
 	answered chan struct{}
@@ -21,68 +21,71 @@
 	return ok
 }
 
-// mostProbes bounds the connections opened to reach every loop: nbio picks the
-// loop by the file descriptor, and neighbouring descriptors reach neighbouring loops.
-const mostProbes = 256
+// maxProbes limits the number of connections opened to reach every loop: nbio picks the
+// loop by the file descriptor, and consecutive descriptors reach consecutive loops.
+const maxProbes = 256
 
-// Await returns once each of a started engine's event loops has answered; the error tells why one can't be reached.
-func Await(engine *nbio.Engine, loops int) error {
+// Await returns once each of a started engine's count event loops has answered a probe; the error is the reason why one can't be reached.
+func Await(engine *nbio.Engine, count int) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return errors.Wrap(err, "loops: listen")
 	}
 	defer func() { _ = l.Close() }()
 	reached := map[int]bool{}
-	for tries := 0; len(reached) < loops; tries++ {
-		if tries == mostProbes {
-			return errors.Errorf("loops: %d of %d reached", len(reached), loops)
+	for attempt := 0; len(reached) < count; attempt++ {
+		if attempt == maxProbes {
+			return errors.Errorf("loops: only %d of %d event loops reached", len(reached), count)
 		}
-		far, near, err := pair(l)
+		client, server, err := connect(l)
 		if err != nil {
 			return err
 		}
-		// Open until the end, so that the next pair has other descriptors.
-		defer func() { _ = far.Close() }()
-		if reached[near.Hash()%loops] {
-			// Closed at once: with both ends kept, every next pair would be two descriptors on and reach this loop again.
-			_ = near.Close()
+		// Kept open until the end, so that the next connection has other descriptors.
+		defer func() { _ = client.Close() }()
+		if reached[server.Hash()%count] {
+			// Closed at once: if both ends stayed open, the descriptors of each next connection would be two higher and
+			// could reach this loop again every time.
+			_ = server.Close()
 			continue
 		}
-		reached[near.Hash()%loops] = true
-		if err := await(engine, far, near); err != nil {
+		reached[server.Hash()%count] = true
+		if err := awaitLoop(engine, client, server); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func pair(l net.Listener) (far net.Conn, near *nbio.Conn, err error) {
-	far, err = net.Dial("tcp", l.Addr().String())
+// connect returns both ends of a connection to the listener.
+func connect(l net.Listener) (client net.Conn, server *nbio.Conn, err error) {
+	client, err = net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "loops: dial")
 	}
 	accepted, err := l.Accept()
 	if err != nil {
-		_ = far.Close()
+		_ = client.Close()
 		return nil, nil, errors.Wrap(err, "loops: accept")
 	}
-	near, err = nbio.NBConn(accepted)
+	server, err = nbio.NBConn(accepted)
 	if err != nil {
-		_ = far.Close()
+		_ = client.Close()
 		return nil, nil, errors.Wrap(err, "loops: probe")
 	}
-	return far, near, nil
+	return client, server, nil
 }
 
-func await(engine *nbio.Engine, far net.Conn, near *nbio.Conn) error {
+// awaitLoop adds the server's end to the engine and waits until its loop has handled a byte from the client's end.
+func awaitLoop(engine *nbio.Engine, client net.Conn, server *nbio.Conn) error {
 	p := &probe{answered: make(chan struct{})}
-	near.SetSession(p)
-	// nbhttp passes data on to the connection's own handler.
-	near.OnData(p.answer)
-	if _, err := engine.AddConn(near); err != nil {
+	server.SetSession(p)
+	// nbhttp passes the data to the connection's own handler.
+	server.OnData(p.answer)
+	if _, err := engine.AddConn(server); err != nil {
 		return errors.Wrap(err, "loops: add")
 	}
-	if _, err := far.Write([]byte{0}); err != nil {
+	if _, err := client.Write([]byte{0}); err != nil {
 		return errors.Wrap(err, "loops: write")
 	}
 	<-p.answered
--- a/internal/wire/loops/engine.go
+++ b/internal/wire/loops/engine.go
@@ -7,7 +7,7 @@
 	"github.com/lesismal/nbio"
 )
 
-// Handlers are what an engine's loops call for its connections.
+// Handlers are the functions that an engine calls for its connections.
 type Handlers struct {
 	Open  func(c *nbio.Conn)
 	Data  func(c *nbio.Conn, data []byte)
@@ -16,19 +16,19 @@
 
 // Engine is an nbio engine whose Start returns once its acceptor and every event loop run.
 //
-// Each loop of nbio 1.6.8 clears its stop mark when its goroutine begins. A
-// Stop that comes before that is forgotten: it waits forever, the loop spins
-// on its wake-up event, and a busy machine shows two cores burnt by a process
-// that should have ended. So every loop has to answer once before Start returns.
+// Each loop of nbio 1.6.8 clears its stop flag when its goroutine starts. An
+// earlier Stop is lost: it waits forever, the loop spins on its wake-up event,
+// and on a busy machine the process uses two cores instead of ending. So every
+// loop has to answer a probe before Start returns.
 type Engine struct {
 	*nbio.Engine
-	loops     int
+	loopCount int
 	accepting chan struct{}
 }
 
-// New returns an engine with the configuration that serves from Start to Stop.
+// New returns an engine with the given configuration; it serves from Start to Stop.
 func New(config nbio.Config, h Handlers) *Engine {
-	e := &Engine{loops: config.NPoller, accepting: make(chan struct{})}
+	e := &Engine{loopCount: config.NPoller, accepting: make(chan struct{})}
 	config.Listen = func(network, address string) (net.Listener, error) {
 		l, err := net.Listen(network, address)
 		return &listener{Listener: l, accepting: e.accepting}, err
@@ -54,23 +54,23 @@
 	return e
 }
 
-// Start listens and serves; the error tells why the address can't be had.
+// Start listens and serves; the error is the reason why it can't listen on the address or reach an event loop.
 func (e *Engine) Start() error {
 	if err := e.Engine.Start(); err != nil {
 		return err
 	}
 	<-e.accepting
-	return Await(e.Engine, e.loops)
+	return Await(e.Engine, e.loopCount)
 }
 
-// listener tells when the acceptor's loop has begun.
+// listener closes accepting when the acceptor first calls Accept.
 type listener struct {
 	net.Listener
 	accepting chan struct{}
 	once      sync.Once
 }
 
-// Accept waits for the next connection; the error is the listener's.
+// Accept waits for the next connection.
 func (l *listener) Accept() (net.Conn, error) {
 	l.once.Do(func() { close(l.accepting) })
 	return l.Listener.Accept()
--- a/internal/wire/loops/engine_test.go
+++ b/internal/wire/loops/engine_test.go
@@ -10,14 +10,13 @@
 )
 
 func TestStopRightAfterStart(t *testing.T) {
-	// A daemon is told to stop in the moment it starts, on a machine so busy
-	// that its loops have not run yet. The stop was forgotten: the process
-	// never ended and burnt two cores.
+	// Guards against losing a stop that comes before the event loops run, as on a busy machine: the process never
+	// ended and used two cores.
 	Convey("An engine that has started can be stopped at once", t, func() {
-		var all sync.WaitGroup
+		var starters sync.WaitGroup
 		failed := make(chan error, 400)
 		for range 20 {
-			all.Go(func() {
+			starters.Go(func() {
 				for range 20 {
 					engine := New(nbio.Config{Network: "tcp", Addrs: []string{"127.0.0.1:0"}, NPoller: 3}, Handlers{
 						Open:  func(*nbio.Conn) {},
@@ -32,20 +31,19 @@
 				}
 			})
 		}
-		all.Wait()
+		starters.Wait()
 		So(failed, ShouldBeEmpty)
 	})
-	Convey("An address that is not the host's is an error", t, func() {
+	Convey("An address that the host doesn't have is an error", t, func() {
 		engine := New(nbio.Config{Network: "tcp", Addrs: []string{"192.0.2.1:1"}, NPoller: 1}, Handlers{})
 		So(engine.Start(), ShouldNotBeNil)
 	})
 }
 
-func TestStartWhateverFilesAreOpen(t *testing.T) {
-	// A daemon starts while some files of the process are open and others were
-	// closed, so that its descriptors go up in steps of two. Every probe reached
-	// the same loop, and the daemon ended with "1 of 2 reached".
-	Convey("Each loop is reached from any descriptor on", t, func() {
+func TestStartWithAnyFreeDescriptors(t *testing.T) {
+	// Guards against probes that all reach the same loop: open and closed files of the process may let its descriptors
+	// go up in steps of two, and the daemon failed with "1 of 2 reached".
+	Convey("Each loop is reached whatever descriptors are free", t, func() {
 		for pattern := range 64 {
 			var files []*os.File
 			for i := range 24 {
--- a/internal/wire/loops/workers.go
+++ b/internal/wire/loops/workers.go
@@ -2,63 +2,65 @@
 
 import "sync"
 
-// Workers runs functions on goroutines that stay for the next one.
+// Workers runs functions on goroutines that are reused.
 //
-// A handler's stack is several times as deep as a new goroutine's. Growing it
-// anew for each request takes some 6% of a request's processor time.
+// A handler needs a stack several times as large as that of a new goroutine. Growing
+// it for each request takes about 6% of the request's processor time.
 type Workers struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// idle holds the channels of the goroutines that wait for a function.
 	idle   []chan func()
 	closed bool
 }
 
-// mostIdle bounds the goroutines that wait for work; what a burst has started beyond it ends with its work.
-const mostIdle = 64
+// maxIdle limits the number of idle goroutines; those that a burst has started beyond it end with their function.
+const maxIdle = 64
 
-// Go runs the function on a goroutine of its own, the one that became idle last if there is one.
+// Go runs the function on the goroutine that became idle last, or on a new one if none is idle.
 func (w *Workers) Go(f func()) {
 	w.mu.Lock()
 	last := len(w.idle) - 1
 	if last < 0 {
 		w.mu.Unlock()
-		go w.work(f)
+		go w.run(f)
 		return
 	}
-	next := w.idle[last]
+	tasks := w.idle[last]
 	w.idle = w.idle[:last]
 	w.mu.Unlock()
-	next <- f
+	tasks <- f
 }
 
-// Close ends the goroutines that wait, and those at work once they are done.
+// Close ends the idle goroutines now and the busy ones after their function.
 func (w *Workers) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed = true
-	for _, next := range w.idle {
-		close(next)
+	for _, tasks := range w.idle {
+		close(tasks)
 	}
 	w.idle = nil
 }
 
-func (w *Workers) work(f func()) {
-	next := make(chan func(), 1)
+// run runs the function and then those sent to this goroutine, until it isn't needed any more.
+func (w *Workers) run(f func()) {
+	tasks := make(chan func(), 1)
 	for f != nil {
 		f()
-		if !w.rest(next) {
+		if !w.park(tasks) {
 			return
 		}
-		f = <-next
+		f = <-tasks
 	}
 }
 
-// rest offers a goroutine for more work; false means that there are enough.
-func (w *Workers) rest(next chan func()) bool {
+// park adds the goroutine with the given channel to the idle ones; false means that it must end.
+func (w *Workers) park(tasks chan func()) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.closed || len(w.idle) == mostIdle {
+	if w.closed || len(w.idle) == maxIdle {
 		return false
 	}
-	w.idle = append(w.idle, next)
+	w.idle = append(w.idle, tasks)
 	return true
 }
--- a/internal/wire/loops/yield.go
+++ b/internal/wire/loops/yield.go
@@ -2,9 +2,9 @@
 
 import "runtime"
 
-// Yield lets the goroutines that a loop has just made ready run at once, on the loop's own thread.
+// Yield lets goroutines that an event loop has just made runnable run at once, on the loop's thread.
 //
-// A loop waits for its next events in a system call. What it made ready before
-// would otherwise start only when another thread has been woken for it, which
-// shows as latency on hosts with few calls, where threads sleep deeply.
+// A loop waits for its next events in a system call. Without Yield, those goroutines
+// start only after another thread has been woken for them. This adds latency on hosts
+// with little traffic, where the other threads are in deep sleep.
 func Yield() { runtime.Gosched() }
