--- a/internal/app/daemon/dispatch.go
+++ b/internal/app/daemon/dispatch.go
@@ -64,7 +64,7 @@
 	}
 	// A refusal after a lost answer must not claim that nothing ran.
 	if ran && answer.Outcome == call.NotRun {
-		answer = call.Lose(call.AnswerLost)
+		answer = call.UnknownOutcome(call.AnswerLost)
 	}
 	answer.BudgetLeft = a.account.Left()
 	return answer
@@ -73,7 +73,7 @@
 func repeatable(r call.Request, a call.Answer) bool {
 	switch a.Outcome {
 	case call.NotRun:
-		return a.Reason.ComeBack()
+		return a.Reason.Temporary()
 	case call.Unknown:
 		return r.Idempotent
 	default:
@@ -182,8 +182,8 @@
 		refusal.BudgetLeft = r.Budget
 		return refusal
 	case errors.Is(err, context.Canceled):
-		return call.Lose(call.Cancelled)
+		return call.UnknownOutcome(call.Cancelled)
 	default:
-		return call.Lose(call.AnswerLost)
+		return call.UnknownOutcome(call.AnswerLost)
 	}
 }
--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -180,7 +180,7 @@
 			case <-ticket.Done:
 				continue
 			case <-ctx.Done():
-				return call.Lose(call.Repeated)
+				return call.UnknownOutcome(call.Repeated)
 			}
 		case ledger.Answered:
 			return ticket.Answer
@@ -189,7 +189,7 @@
 		case ledger.Full:
 			return call.Refuse(call.Overloaded, ticket.Wait)
 		default:
-			return call.Lose(call.Repeated)
+			return call.UnknownOutcome(call.Repeated)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 		Need: key.Age(now, r.window), Required: r.history.Required(key, now),
 	}
 	if q.Need > r.window {
-		return call.Lose(call.Repeated), true
+		return call.UnknownOutcome(call.Repeated), true
 	}
 	if r.history.Confirmed(now) && !q.Asking() {
 		return call.Answer{}, false
@@ -231,7 +231,7 @@
 		if m.State == ledger.Finished && m.Kept {
 			return m.Answer, true
 		}
-		return call.Lose(call.Repeated), true
+		return call.UnknownOutcome(call.Repeated), true
 	}
 	switch confirmed := r.history.Confirmed(time.Now()); {
 	case confirmed && q.New():
@@ -239,14 +239,14 @@
 	case q.New() || q.Pending():
 		return r.undecided(time.Now()), true
 	default:
-		return call.Lose(call.Repeated), true
+		return call.UnknownOutcome(call.Repeated), true
 	}
 }
 
 // undecided is the answer while hosts that may know of a key can't be reached. It
 // is no notRun: an attempt before this one may have run where they are.
 func (r *repeats) undecided(now time.Time) call.Answer {
-	answer := call.Lose(call.Undecided)
+	answer := call.UnknownOutcome(call.Undecided)
 	answer.RetryAfter = time.Second
 	members := r.daemon.members.Load()
 	for _, host := range r.history.Hosts() {
--- a/internal/app/daemon/owner.go
+++ b/internal/app/daemon/owner.go
@@ -107,7 +107,7 @@
 func credible(r *call.Request, a call.Answer, left int) call.Answer {
 	given := r.Budget - 1
 	if a.Outcome == call.NotRun && left < given {
-		a = call.Lose(call.AnswerLost)
+		a = call.UnknownOutcome(call.AnswerLost)
 	}
 	a.BudgetLeft = left
 	if a.Outcome == call.NotRun {
--- a/internal/app/daemon/truth_test.go
+++ b/internal/app/daemon/truth_test.go
@@ -24,7 +24,7 @@
 		{"a refusal before any call of its own", call.Refuse(call.UpstreamShed, 0), 7, call.NotRun, 8},
 		{"a refusal after a call of its own ran", call.Refuse(call.UpstreamShed, 0), 6, call.Unknown, 6},
 		{"a whole answer", call.Answer{Outcome: call.Whole}, 6, call.Whole, 6},
-		{"a lost answer", call.Lose(call.AnswerLost), 7, call.Unknown, 7},
+		{"a lost answer", call.UnknownOutcome(call.AnswerLost), 7, call.Unknown, 7},
 	}
 	Convey("An upstream's not run counts only if nothing was spent", t, func() {
 		for _, c := range cases {
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -220,7 +220,7 @@
 	c.router.quota.Configure(rates)
 	c.router.beats.collector.Configure(rates)
 	limits := c.catalog.Config().Limits
-	c.router.callers.Bound(httpd.Bounds{
+	c.router.callers.SetBounds(httpd.Bounds{
 		HeadBytes: limits.HeadBytes, HeadTime: limits.HeadTime, BodyBytes: limits.BodyBytes, IdleTime: limits.IdleTimeout,
 	})
 }
--- a/internal/app/router/place.go
+++ b/internal/app/router/place.go
@@ -179,11 +179,11 @@
 	case errors.Is(err, peer.ErrNotSent):
 		a = call.Refuse(call.NoUpstream, noInstanceWait)
 	case errors.Is(err, context.Canceled):
-		a = call.Lose(call.Cancelled)
+		a = call.UnknownOutcome(call.Cancelled)
 	case errors.Is(err, context.DeadlineExceeded):
-		a = call.Lose(call.TimedOut)
+		a = call.UnknownOutcome(call.TimedOut)
 	default:
-		a = call.Lose(call.AnswerLost)
+		a = call.UnknownOutcome(call.AnswerLost)
 	}
 	return runResult{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Arrived: a.Outcome != call.NotRun}
 }
--- a/internal/app/router/send.go
+++ b/internal/app/router/send.go
@@ -69,7 +69,7 @@
 	case overdue:
 		reason = call.TimedOut
 	}
-	lost := call.Lose(reason)
+	lost := call.UnknownOutcome(reason)
 	return runResult{Outcome: lost.Outcome, Reason: lost.Reason, Status: lost.Status, Arrived: true}
 }
 
@@ -81,7 +81,7 @@
 		return runResult{Outcome: a.Outcome, Reason: a.Reason, Status: a.Status, RetryAfter: a.RetryAfter, Arrived: true}
 	}
 	if head.Encoded || !head.Authentic && res.Status < http.StatusBadRequest {
-		lost := call.Lose(call.AnswerLost)
+		lost := call.UnknownOutcome(call.AnswerLost)
 		return runResult{Outcome: lost.Outcome, Reason: lost.Reason, Status: lost.Status, Arrived: true}
 	}
 	return runResult{Outcome: call.Whole, Status: res.Status, Header: res.Header, Body: res.Body, Arrived: true}
--- a/internal/ctl/reference/reference.go
+++ b/internal/ctl/reference/reference.go
@@ -48,7 +48,7 @@
 		}
 		advice, _ := explain.Of(r.String())
 		fmt.Fprintf(&page, "| `%s` | %d | %s | %s | %s | %s |\n",
-			r, r.Status(), yes(r.ComeBack()), cell(advice.Meaning), cell(advice.Caller), cell(advice.Operator))
+			r, r.Status(), yes(r.Temporary()), cell(advice.Meaning), cell(advice.Caller), cell(advice.Operator))
 	}
 	return page.String()
 }
--- a/internal/domain/call/answer.go
+++ b/internal/domain/call/answer.go
@@ -30,7 +30,7 @@
 	return Answer{Outcome: NotRun, Reason: reason, Status: reason.Status(), RetryAfter: retryAfter}
 }
 
-// Lose returns the response to a request that may have been run.
-func Lose(reason Reason) Answer {
+// UnknownOutcome returns the response to a request that may have been run.
+func UnknownOutcome(reason Reason) Answer {
 	return Answer{Outcome: Unknown, Reason: reason, Status: reason.Status()}
 }
--- a/internal/domain/call/outcome.go
+++ b/internal/domain/call/outcome.go
@@ -90,8 +90,8 @@
 	return statusUnavailable
 }
 
-// ComeBack reports whether a client retry after a delay can succeed.
-func (r Reason) ComeBack() bool {
+// Temporary reports whether a client retry after a delay can succeed.
+func (r Reason) Temporary() bool {
 	switch r {
 	case OverRate, Overloaded, NoUpstream, Draining, NotReady, UpstreamShed, DeadlineTooNear, Undecided:
 		return true
--- a/internal/domain/lists/table.go
+++ b/internal/domain/lists/table.go
@@ -238,7 +238,7 @@
 
 // diff returns the difference of the two texts, or false if more than entries differ.
 func (t *table[E, P]) diff(before, after []byte) (textChange, bool) {
-	prefix, suffix := CommonEnds(before, after)
+	prefix, suffix := CommonPrefixSuffix(before, after)
 	suffixStart := len(before) - suffix
 	c := textChange{shift: len(after) - len(before), begin: t.arrayStart, end: t.arrayEnd}
 	c.first = sort.Search(len(t.spans), func(i int) bool { return int(t.spans[i].end) > prefix })
@@ -291,8 +291,8 @@
 // compareBlock is the number of bytes compared in one step.
 const compareBlock = 256
 
-// CommonEnds returns the lengths of the common prefix of two texts and of the common suffix of the rest, in bytes.
-func CommonEnds(a, b []byte) (prefix, suffix int) {
+// CommonPrefixSuffix returns the lengths of the common prefix of two texts and of the common suffix of the rest, in bytes.
+func CommonPrefixSuffix(a, b []byte) (prefix, suffix int) {
 	maxPrefix := min(len(a), len(b))
 	for prefix+compareBlock <= maxPrefix && bytes.Equal(a[prefix:prefix+compareBlock], b[prefix:prefix+compareBlock]) {
 		prefix += compareBlock
--- a/internal/domain/routing/config.go
+++ b/internal/domain/routing/config.go
@@ -93,7 +93,7 @@
 // Check returns why the configuration can't be put in force, or nil.
 //
 // A configuration is rejected as a whole only if requests could be attributed to the wrong organisation, if it can't be
-// ordered by version, or if none of its routes can be served. A fault of one route affects only its callers: see Settle.
+// ordered by version, or if none of its routes can be served. A fault of one route affects only its callers: see MarkFaults.
 func (c *Config) Check() error {
 	if c.Version == 0 {
 		return errors.New("routing: version 0, expected at least 1")
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// Settle sets Fault of each route that can't be served, and returns these faults.
-func (c *Config) Settle() []string {
+// MarkFaults sets Fault of each route that can't be served, and returns these faults.
+func (c *Config) MarkFaults() []string {
 	var faults []string
 	for i := range c.Routes {
 		r := &c.Routes[i]
--- a/internal/domain/routing/table_test.go
+++ b/internal/domain/routing/table_test.go
@@ -77,7 +77,7 @@
 	// Guards against one faulty route that stops all routes of the fleet, and against its requests going to a route with a shorter prefix.
 	Convey("A faulty route is reported, and the others are served", t, func() {
 		c := validConfig()
-		So(c.Settle(), ShouldBeEmpty)
+		So(c.MarkFaults(), ShouldBeEmpty)
 		for _, c := range []struct {
 			want   string
 			found  bool
@@ -94,7 +94,7 @@
 			config := validConfig()
 			c.change(&config.Routes[0])
 			So(config.Check(), ShouldBeNil)
-			faults := config.Settle()
+			faults := config.MarkFaults()
 			So(faults, ShouldHaveLength, 1)
 			So(faults[0], ShouldContainSubstring, c.want)
 			table := NewTable(config)
--- a/internal/fleet/catalog/catalog.go
+++ b/internal/fleet/catalog/catalog.go
@@ -136,7 +136,7 @@
 		out.Rejected = err
 		return
 	}
-	out.Faults = append(e.Config.Settle(), e.Config.Notes...)
+	out.Faults = append(e.Config.MarkFaults(), e.Config.Notes...)
 	c.config, c.configAt = e.Config, e.Revision
 	out.Configured = true
 }
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -43,7 +43,7 @@
 			want  Claim
 		}{
 			{"a whole answer is given again", whole, Answered},
-			{"an unknown outcome stays unknown", call.Lose(call.AnswerLost), Doubtful},
+			{"an unknown outcome stays unknown", call.UnknownOutcome(call.AnswerLost), Doubtful},
 			{"one that was not run may run", call.Refuse(call.Overloaded, 0), Begun},
 			{"an answer too large to keep is not made up", call.Answer{Outcome: call.Whole, Body: make([]byte, 101)}, Doubtful},
 		}
--- a/internal/fleet/spread/archive.go
+++ b/internal/fleet/spread/archive.go
@@ -79,7 +79,7 @@
 }
 
 func splice(before, after lists.Value) Splice {
-	prefix, suffix := lists.CommonEnds(before.Raw, after.Raw)
+	prefix, suffix := lists.CommonPrefixSuffix(before.Raw, after.Raw)
 	middle := bytes.Clone(after.Raw[prefix : len(after.Raw)-suffix])
 	return Splice{From: before.Version, To: after.Version, Prefix: prefix, Suffix: suffix, Middle: middle}
 }
--- a/internal/wire/httpd/bounds.go
+++ b/internal/wire/httpd/bounds.go
@@ -13,8 +13,8 @@
 	IdleTime time.Duration
 }
 
-// Bound applies bounds to everything that arrives from now on; a field that is 0 means the bound that New was given.
-func (s *Server) Bound(changes Bounds) {
+// SetBounds applies bounds to everything that arrives from now on; a field that is 0 means the bound that New was given.
+func (s *Server) SetBounds(changes Bounds) {
 	bounds := s.configured
 	if changes.HeadBytes > 0 {
 		bounds.HeadBytes = changes.HeadBytes
--- a/internal/wire/httpd/guard_test.go
+++ b/internal/wire/httpd/guard_test.go
@@ -156,7 +156,7 @@
 			{"a shorter time for the head", Bounds{HeadTime: 50 * time.Millisecond}, post, ""},
 			{"the bounds that New was given", Bounds{}, post + "Connection: close\r\nContent-Length: 2\r\n\r\nxy", "HTTP/1.1 200 "},
 		} {
-			s.Bound(c.bounds)
+			s.SetBounds(c.bounds)
 			So(sendRaw(url, c.raw), ShouldStartWith, c.want)
 		}
 	})
@@ -173,7 +173,7 @@
 		_, err = conn.Read(first)
 		So(err, ShouldBeNil)
 		idle.EndIdle(time.Now().Add(time.Hour))
-		idle.Bound(Bounds{IdleTime: 10 * time.Second})
+		idle.SetBounds(Bounds{IdleTime: 10 * time.Second})
 		idle.EndIdle(time.Now().Add(5 * time.Second))
 		ended := make(chan struct{})
 		go func() {
--- a/internal/wire/httpd/server.go
+++ b/internal/wire/httpd/server.go
@@ -79,7 +79,7 @@
 	for _, opt := range opts {
 		opt(s)
 	}
-	s.Bound(Bounds{})
+	s.SetBounds(Bounds{})
 	logging.SetLevel(logging.LevelNone)
 	s.engine = nbhttp.NewEngine(nbhttp.Config{
 		Name:            "httpd",
--- a/internal/wire/upstream/client.go
+++ b/internal/wire/upstream/client.go
@@ -134,9 +134,9 @@
 	case unsent:
 		return call.Refuse(call.BadRequest, 0)
 	case errors.Is(err, context.Canceled):
-		return call.Lose(call.Cancelled)
+		return call.UnknownOutcome(call.Cancelled)
 	default:
-		return call.Lose(call.AnswerLost)
+		return call.UnknownOutcome(call.AnswerLost)
 	}
 }
 
@@ -146,15 +146,15 @@
 func (c *Client) read(res *http.Response) call.Answer {
 	body, err := io.ReadAll(io.LimitReader(res.Body, c.maxAnswer+1))
 	if err != nil || int64(len(body)) > c.maxAnswer {
-		return call.Lose(call.AnswerLost)
+		return call.UnknownOutcome(call.AnswerLost)
 	}
 	if res.ContentLength >= 0 && int64(len(body)) != res.ContentLength && res.Request.Method != http.MethodHead {
-		return call.Lose(call.AnswerLost)
+		return call.UnknownOutcome(call.AnswerLost)
 	}
 	// An answer that ends with its connection looks the same when the upstream
 	// dies in the middle of it, so only one with a length or chunks is whole.
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 && res.Request.Method != http.MethodHead {
-		return call.Lose(call.AnswerLost)
+		return call.UnknownOutcome(call.AnswerLost)
 	}
 	if res.Header.Get(HeaderOutcome) == call.NotRun.String() {
 		return call.Refuse(call.UpstreamShed, retryAfter(res.Header))
