--- a/internal/domain/call/outcome.go
+++ b/internal/domain/call/outcome.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// Overload reports whether the reason is a lack of capacity to run the request in time.
+// Overload reports whether the reason is an overload: a lack of capacity to run the request in time.
 func (r Reason) Overload() bool {
 	switch r {
 	case Overloaded, DeadlineTooNear, UpstreamShed:
--- a/internal/wire/httpd/guard.go
+++ b/internal/wire/httpd/guard.go
@@ -50,7 +50,8 @@
 const (
 	// minBodyRate is the minimum rate at which a body must arrive, in bytes per second.
 	minBodyRate = 64 << 10
-	// lingerTime is how long a connection stays open after a refusal: closed at once, unread data would cause a reset and lose it.
+	// lingerTime is how long a connection stays open after a refusal. If it were closed at once, data that the
+	// caller is still sending would cause a reset, and the caller would lose the refusal.
 	lingerTime = 500 * time.Millisecond
 	// headerLineOverhead is the length of a header line without its name and value, in bytes.
 	headerLineOverhead = len(": \r\n")
--- a/internal/wire/loops/engine_test.go
+++ b/internal/wire/loops/engine_test.go
@@ -42,7 +42,7 @@
 
 func TestStartWithAnyFreeDescriptors(t *testing.T) {
 	// Guards against probes that all reach the same loop: open and closed files of the process may let its descriptors
-	// go up in steps of two, and the daemon failed with "1 of 2 reached".
+	// go up in steps of two, and the daemon failed to start with one of two loops reached.
 	Convey("Each loop is reached whatever descriptors are free", t, func() {
 		for pattern := range 64 {
 			var files []*os.File
