--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -180,7 +180,7 @@
 			case <-ticket.Done:
 				continue
 			case <-ctx.Done():
-				return call.Lose(call.Repeated)
+				return call.UnknownOutcome(call.Repeated)
 			}
 		case ledger.Answered:
 			return ticket.Answer
@@ -189,7 +189,7 @@
 		case ledger.Full:
 			return call.Refuse(call.Overloaded, ticket.Wait)
 		default:
-			return call.Lose(call.Repeated)
+			return call.UnknownOutcome(call.Repeated)
 		}
 	}
 }
@@ -222,7 +222,7 @@
 		MaxKeyAge: key.MaxAge(now, r.window), PossibleHolders: r.history.PossibleHolders(key, now),
 	}
 	if evidence.MaxKeyAge > r.window {
-		return call.Lose(call.Repeated), true
+		return call.UnknownOutcome(call.Repeated), true
 	}
 	if r.history.Confirmed(now) && !evidence.NeedsRecall() {
 		return call.Answer{}, false
@@ -232,7 +232,7 @@
 		if reply.State == ledger.Finished && reply.HasAnswer {
 			return reply.Answer, true
 		}
-		return call.Lose(call.Repeated), true
+		return call.UnknownOutcome(call.Repeated), true
 	}
 	switch confirmed := r.history.Confirmed(time.Now()); {
 	case confirmed && evidence.ProvesNew():
@@ -240,14 +240,14 @@
 	case evidence.ProvesNew() || evidence.OnlyRepliesMissing():
 		return r.undecided(time.Now()), true
 	default:
-		return call.Lose(call.Repeated), true
+		return call.UnknownOutcome(call.Repeated), true
 	}
 }
 
 // undecided is the response while hosts that may know of a key can't be reached. Its outcome is unknown rather than
 // not run, since an earlier attempt may have run on one of those hosts.
 func (r *deduplicator) undecided(now time.Time) call.Answer {
-	answer := call.Lose(call.Undecided)
+	answer := call.UnknownOutcome(call.Undecided)
 	answer.RetryAfter = time.Second
 	members := r.daemon.members.Load()
 	for _, host := range r.history.Hosts() {
--- a/internal/app/daemon/owner.go
+++ b/internal/app/daemon/owner.go
@@ -108,7 +108,7 @@
 func checkNotRun(r *call.Request, a call.Answer, left int) call.Answer {
 	granted := r.Budget - 1
 	if a.Outcome == call.NotRun && left < granted {
-		a = call.Lose(call.AnswerLost)
+		a = call.UnknownOutcome(call.AnswerLost)
 	}
 	a.BudgetLeft = left
 	if a.Outcome == call.NotRun {
--- a/internal/app/router/place.go
+++ b/internal/app/router/place.go
@@ -180,11 +180,11 @@
 	case errors.Is(err, peer.ErrNotSent):
 		answer = call.Refuse(call.NoUpstream, noInstanceRetryAfter)
 	case errors.Is(err, context.Canceled):
-		answer = call.Lose(call.Cancelled)
+		answer = call.UnknownOutcome(call.Cancelled)
 	case errors.Is(err, context.DeadlineExceeded):
-		answer = call.Lose(call.TimedOut)
+		answer = call.UnknownOutcome(call.TimedOut)
 	default:
-		answer = call.Lose(call.AnswerLost)
+		answer = call.UnknownOutcome(call.AnswerLost)
 	}
 	return runResult{Outcome: answer.Outcome, Reason: answer.Reason, Status: answer.Status, RetryAfter: answer.RetryAfter, Arrived: answer.Outcome != call.NotRun}
 }
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -43,7 +43,7 @@
 			want  Claim
 		}{
 			{"a retry gets the recorded whole response", wholeAnswer, Answered},
-			{"an unknown outcome stays unknown", call.Lose(call.AnswerLost), Doubtful},
+			{"an unknown outcome stays unknown", call.UnknownOutcome(call.AnswerLost), Doubtful},
 			{"a request that was not run may run", call.Refuse(call.Overloaded, 0), Begun},
 			{"a response too large to keep makes the outcome unknown", call.Answer{Outcome: call.Whole, Body: make([]byte, 101)}, Doubtful},
 		}
--- a/internal/fleet/spread/archive.go
+++ b/internal/fleet/spread/archive.go
@@ -80,7 +80,7 @@
 }
 
 func newSplice(before, after lists.Value) Splice {
-	prefix, suffix := lists.CommonEnds(before.Raw, after.Raw)
+	prefix, suffix := lists.CommonPrefixSuffix(before.Raw, after.Raw)
 	middle := bytes.Clone(after.Raw[prefix : len(after.Raw)-suffix])
 	return Splice{From: before.Version, To: after.Version, Prefix: prefix, Suffix: suffix, Middle: middle}
 }
--- a/internal/wire/upstream/client.go
+++ b/internal/wire/upstream/client.go
@@ -136,9 +136,9 @@
 	case notSent:
 		return call.Refuse(call.BadRequest, 0)
 	case errors.Is(err, context.Canceled):
-		return call.Lose(call.Cancelled)
+		return call.UnknownOutcome(call.Cancelled)
 	default:
-		return call.Lose(call.AnswerLost)
+		return call.UnknownOutcome(call.AnswerLost)
 	}
 }
 
@@ -148,15 +148,15 @@
 func (c *Client) readResponse(res *http.Response) call.Answer {
 	body, err := io.ReadAll(io.LimitReader(res.Body, c.maxResponse+1))
 	if err != nil || int64(len(body)) > c.maxResponse {
-		return call.Lose(call.AnswerLost)
+		return call.UnknownOutcome(call.AnswerLost)
 	}
 	if res.ContentLength >= 0 && int64(len(body)) != res.ContentLength && res.Request.Method != http.MethodHead {
-		return call.Lose(call.AnswerLost)
+		return call.UnknownOutcome(call.AnswerLost)
 	}
 	// A response that ends with its connection looks the same if the upstream
 	// crashes while sending it, so only one with a length or in chunks counts as complete.
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 && res.Request.Method != http.MethodHead {
-		return call.Lose(call.AnswerLost)
+		return call.UnknownOutcome(call.AnswerLost)
 	}
 	if res.Header.Get(HeaderOutcome) == call.NotRun.String() {
 		return call.Refuse(call.UpstreamShed, retryAfter(res.Header))
