--- a/internal/load/mesh/caller.go
+++ b/internal/load/mesh/caller.go
@@ -5,63 +5,63 @@
 	"time"
 )
 
-// arrive lets callers of the route send until the end.
-func (f *fleet) arrive(r *Route, until time.Time) {
-	rate := r.PerSecond * max(f.trouble("", func(t *Trouble) float64 { return t.Surge }), 1)
+// scheduleArrivals schedules callers' requests on the route as a Poisson process that ends at until.
+func (f *fleet) scheduleArrivals(r *Route, until time.Time) {
+	rate := r.ArrivalRate * max(f.faultLevel("", func(t *Trouble) float64 { return t.SurgeFactor }), 1)
 	f.clock.After(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
 		if f.now().After(until) {
 			return
 		}
-		f.ask(r)
-		f.arrive(r, until)
+		f.sendCallerRequest(r)
+		f.scheduleArrivals(r, until)
 	})
 }
 
-// organisations is how many send requests, all as many.
+// organisations is the number of organisations, all with the same load.
 const organisations = 8
 
-// comeBackBy is the part of the time left until which a caller waits to come back.
-const comeBackBy = 3
+// A caller retries only if Retry-After is at most its remaining time divided by maxRetryWaitDivisor.
+const maxRetryWaitDivisor = 3
 
-// ask is one caller's request, which comes back once if it was not run.
-func (f *fleet) ask(r *Route) {
-	begun := f.now()
-	counts := f.result.at(r.Name, f.second())
+// sendCallerRequest sends one caller's request, which the caller retries at most once.
+func (f *fleet) sendCallerRequest(r *Route) {
+	start := f.now()
+	counts := f.result.countsOf(r.Name, f.second())
 	for _, t := range counts {
 		t.Asked++
 	}
-	f.send(r, begun, counts, func(a answer) {
-		left := r.Patience - f.now().Sub(begun)
-		if a.kind == whole || a.kind == failed && r.Once || a.retryAfter > left/comeBackBy {
-			conclude(r, counts, a, f.now().Sub(begun))
+	f.sendToDaemon(r, start, counts, func(a answer) {
+		remaining := r.Patience - f.now().Sub(start)
+		if a.outcome == succeeded || a.outcome == failed && r.AtMostOnce || a.retryAfter > remaining/maxRetryWaitDivisor {
+			countOutcome(r, counts, a, f.now().Sub(start))
 			return
 		}
 		f.clock.After(a.retryAfter, func() {
-			f.send(r, begun, counts, func(a answer) { conclude(r, counts, a, f.now().Sub(begun)) })
+			f.sendToDaemon(r, start, counts, func(a answer) { countOutcome(r, counts, a, f.now().Sub(start)) })
 		})
 	})
 }
 
-func (f *fleet) send(r *Route, begun time.Time, counts []*Tally, done func(answer)) {
+func (f *fleet) sendToDaemon(r *Route, start time.Time, counts []*Counts, done func(answer)) {
 	h := f.hosts[f.random.IntN(len(f.hosts))]
-	f.clock.After(clientWay, func() {
+	f.clock.After(clientDelay, func() {
 		q := &request{
-			route: r, root: r, organisation: fmt.Sprint(f.random.IntN(organisations)), deadline: earlier(f.now().Add(r.Timeout), begun.Add(r.Patience)), counts: counts,
-			done: func(a answer) { f.clock.After(clientWay, func() { done(a) }) },
+			route: r, root: r, organisation: fmt.Sprint(f.random.IntN(organisations)), deadline: earlier(f.now().Add(r.Timeout), start.Add(r.Patience)), counts: counts,
+			done: func(a answer) { f.clock.After(clientDelay, func() { done(a) }) },
 		}
 		h.serve(q)
 	})
 }
 
-func conclude(r *Route, counts []*Tally, a answer, took time.Duration) {
+func countOutcome(r *Route, counts []*Counts, a answer, took time.Duration) {
 	for _, t := range counts {
 		switch {
-		case a.kind == whole && took <= r.Target:
+		case a.outcome == succeeded && took <= r.Target:
 			t.InTime++
-		case a.kind == whole:
+		case a.outcome == succeeded:
 			t.Late++
-		case a.kind == notRun:
-			t.Refused++
+		case a.outcome == notRun:
+			t.NotRun++
 		default:
 			t.Failed++
 		}
--- a/internal/load/mesh/doc.go
+++ b/internal/load/mesh/doc.go
@@ -1,3 +1,3 @@
-// Package mesh is a model of a fleet of daemons beside the instances of services that call each other, in virtual time, with
-// the decisions of the daemon itself.
+// Package mesh simulates, in virtual time, a fleet of services that call each other, with a daemon on the host of each
+// instance. The daemons use the decision packages of the real daemon.
 package mesh
--- a/internal/load/mesh/fleet.go
+++ b/internal/load/mesh/fleet.go
@@ -19,119 +19,119 @@
 )
 
 const (
-	// oneWay is the time between two hosts, and clientWay between a caller and its daemon.
-	oneWay    = 500 * time.Microsecond
-	clientWay = time.Millisecond
-	// spread is the deviation of the work of a run, as a part of its mean.
-	spread = 0.4
+	// hostDelay is the one-way delay between two hosts, and clientDelay that between a caller and its daemon.
+	hostDelay   = 500 * time.Microsecond
+	clientDelay = time.Millisecond
+	// workDeviation is the standard deviation of a request's work time, as a fraction of the mean.
+	workDeviation = 0.4
 )
 
-// fleet is a scene at work.
+// fleet is the state of a running simulation.
 type fleet struct {
-	scene  Scene
-	clock  virtual.Clock
-	start  time.Time
-	random *rand.Rand
-	routes map[string]*Route
-	hosts  []*host
-	result Result
-	// instances are those listed, by service.
+	scenario     Scene
+	clock        virtual.Clock
+	start        time.Time
+	random       *rand.Rand
+	routesByName map[string]*Route
+	hosts        []*host
+	result       Result
+	// instances holds the registered instances by service.
 	instances map[string][]routing.Instance
 	byID      map[string]*host
 
 	collector *collect.Collector
 }
 
-// quiet takes no notes.
-type quiet struct{}
+// noopObserver discards the collector's notifications.
+type noopObserver struct{}
 
-func (quiet) Planned([]allot.Shortage, int) {}
+func (noopObserver) Planned([]allot.Shortage, int) {}
 
-func (quiet) Leaves(netip.Addr) {}
+func (noopObserver) Leaves(netip.Addr) {}
 
-// Play runs the scene for a while and tells what came of the callers' requests.
-func Play(s Scene, length time.Duration) Result {
-	f := newFleet(s)
-	for _, r := range s.Routes {
-		if r.PerSecond > 0 {
-			f.arrive(&r, f.start.Add(length))
+// Play simulates the scenario for the given virtual time and returns the results of the callers' requests.
+func Play(scenario Scene, length time.Duration) Result {
+	f := newFleet(scenario)
+	for _, r := range scenario.Routes {
+		if r.ArrivalRate > 0 {
+			f.scheduleArrivals(&r, f.start.Add(length))
 		}
 	}
 	for _, h := range f.hosts {
-		f.clock.After(time.Duration(f.random.Float64()*float64(collect.Interval)), h.beat)
+		f.clock.After(time.Duration(f.random.Float64()*float64(collect.Interval)), h.sendHeartbeat)
 	}
 	f.clock.Run(f.start.Add(length))
 	return f.result
 }
 
-func newFleet(s Scene) *fleet {
+func newFleet(scenario Scene) *fleet {
 	f := &fleet{
-		scene: s, random: rand.New(rand.NewPCG(s.Seed, 1)), routes: map[string]*Route{}, result: Result{Routes: map[string]*Tally{}, Services: map[string][]Sent{}},
+		scenario: scenario, random: rand.New(rand.NewPCG(scenario.Seed, 1)), routesByName: map[string]*Route{}, result: Result{Routes: map[string]*Counts{}, Services: map[string][]Sent{}},
 		instances: map[string][]routing.Instance{}, byID: map[string]*host{},
-		collector: collect.New(quiet{}, s.Without),
+		collector: collect.New(noopObserver{}, scenario.Without),
 	}
 	f.clock.Now = time.Unix(1000, 0)
 	f.start = f.clock.Now
-	for i := range s.Routes {
-		r := &s.Routes[i]
-		f.routes[r.Name] = r
+	for i := range scenario.Routes {
+		r := &scenario.Routes[i]
+		f.routesByName[r.Name] = r
 	}
-	for _, service := range s.Services {
+	for _, service := range scenario.Services {
 		for n, speed := range service.Speeds {
-			f.add(service, n, speed)
+			f.addInstance(service, n, speed)
 		}
 	}
 	for _, h := range f.hosts {
-		h.repeats.SetDaemons(len(f.hosts))
+		h.retryBudget.SetDaemons(len(f.hosts))
 	}
 	return f
 }
 
-func (f *fleet) add(s Service, n int, speed float64) {
-	zone := fmt.Sprintf("zone-%d", n%f.scene.Zones)
-	at := netip.AddrFrom4([4]byte{10, 0, byte(len(f.hosts) >> 8), byte(len(f.hosts))})
+func (f *fleet) addInstance(service Service, n int, speed float64) {
+	zone := fmt.Sprintf("zone-%d", n%f.scenario.Zones)
+	address := netip.AddrFrom4([4]byte{10, 0, byte(len(f.hosts) >> 8), byte(len(f.hosts))})
 	instance := routing.Instance{
-		ID: fmt.Sprintf("%s-%d", s.Name, n), Service: s.Name, Zone: zone, Address: netip.AddrPortFrom(at, 80), Slots: s.Slots, Born: f.start,
+		ID: fmt.Sprintf("%s-%d", service.Name, n), Service: service.Name, Zone: zone, Address: netip.AddrPortFrom(address, 80), Slots: service.Slots, Born: f.start,
 	}
 	h := &host{
-		fleet: f, instance: instance, speed: speed, ordinal: n, of: len(s.Speeds),
-		shedder: shed.New(shed.WithRand(f.random.Float64), shed.Without(f.scene.Without)), chooser: choice.New(zone, choice.WithRand(f.random.Float64), choice.Without(f.scene.Without)),
-		repeats: repeats.New(f.scene.Repeats), gate: newGate(s.Slots), runs: lineage.New(lineage.WithRand(f.random.Float64)), held: map[string]allot.HoldTime{},
+		fleet: f, instance: instance, speed: speed, ordinal: n, serviceSize: len(service.Speeds),
+		shedder: shed.New(shed.WithRand(f.random.Float64), shed.Without(f.scenario.Without)), balancer: choice.New(zone, choice.WithRand(f.random.Float64), choice.Without(f.scenario.Without)),
+		retryBudget: repeats.New(f.scenario.RetryLimits), gate: newGate(service.Slots), runs: lineage.New(lineage.WithRand(f.random.Float64)), holdTimes: map[string]allot.HoldTime{},
 	}
 	f.hosts = append(f.hosts, h)
 	f.byID[instance.ID] = h
-	f.instances[s.Name] = append(f.instances[s.Name], instance)
+	f.instances[service.Name] = append(f.instances[service.Name], instance)
 }
 
-// without reports whether the mechanism is switched off.
-func (f *fleet) without(m mechanism.Mechanism) bool { return f.scene.Without.Has(m) }
+// without reports whether the mechanism is disabled.
+func (f *fleet) without(m mechanism.Mechanism) bool { return f.scenario.Without.Has(m) }
 
 func (f *fleet) now() time.Time { return f.clock.Now }
 
-// second is the one of the scene that it is.
+// second returns the number of whole seconds since the start.
 func (f *fleet) second() int { return int(f.now().Sub(f.start).Seconds()) }
 
-// trouble returns the strongest of what befalls the service now.
-func (f *fleet) trouble(service string, strength func(*Trouble) float64) float64 {
-	worst := 0.0
-	at := f.now().Sub(f.start)
-	for i := range f.scene.Troubles {
-		if t := &f.scene.Troubles[i]; t.Service == service && t.active(at) {
-			worst = max(worst, strength(t))
+// faultLevel returns the highest strength among the faults of the service that are active now, 0 without any.
+func (f *fleet) faultLevel(service string, strength func(*Trouble) float64) float64 {
+	highest := 0.0
+	elapsed := f.now().Sub(f.start)
+	for i := range f.scenario.Troubles {
+		if fault := &f.scenario.Troubles[i]; fault.Service == service && fault.active(elapsed) {
+			highest = max(highest, strength(fault))
 		}
 	}
-	return worst
+	return highest
 }
 
-// vary returns a time around the mean.
-func (f *fleet) vary(mean time.Duration) time.Duration {
-	deviation := math.Sqrt(math.Log(1 + spread*spread))
+// sampleWork draws a work time from a log-normal distribution with the given mean.
+func (f *fleet) sampleWork(mean time.Duration) time.Duration {
+	deviation := math.Sqrt(math.Log(1 + workDeviation*workDeviation))
 	return time.Duration(float64(mean) * math.Exp(f.random.NormFloat64()*deviation-deviation*deviation/2))
 }
 
-// shares sends each route to its one service.
+// shares returns, for each route, all of its requests for its one service.
 func (f *fleet) shares(route string) map[string]float64 {
-	r, known := f.routes[route]
+	r, known := f.routesByName[route]
 	if !known {
 		return nil
 	}
--- a/internal/load/mesh/host.go
+++ b/internal/load/mesh/host.go
@@ -18,95 +18,96 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/demand"
 )
 
-// host is an instance with its daemon.
+// host runs one instance and its daemon.
 type host struct {
 	fleet    *fleet
 	instance routing.Instance
 	speed    float64
-	// ordinal is the instance's number among so many of its service.
-	ordinal, of int
+	// ordinal is the instance's index among the serviceSize instances of its service.
+	ordinal, serviceSize int
 
-	shedder *shed.Shedder
-	chooser *choice.Balancer
-	repeats *repeats.Budget
-	gate    *admission.Gate
-	runs    *lineage.Runs
+	shedder     *shed.Shedder
+	balancer    *choice.Balancer
+	retryBudget *repeats.Budget
+	gate        *admission.Gate
+	runs        *lineage.Runs
 
-	fullSum, fullCount float64
-	held               map[string]allot.HoldTime
-	// seen and wasted count what reached the instance and what has to be sent again, since the last beat.
-	seen, wasted int
+	saturationSum, saturationCount float64
+	holdTimes                      map[string]allot.HoldTime
+	// delivered counts the requests that reached the instance since the last heartbeat, and retryable those of them that
+	// must be retried.
+	delivered, retryable int
 }
 
-// kneeFrom is the part of the slots from which on an instance works slower, by knee.
 const (
-	kneeFrom = 0.95
-	knee     = 1.3
-	waitUnit = 50 * time.Millisecond
+	// Above slowFromSaturation, a fraction of the slots, an instance's work takes slowFactor times as long.
+	slowFromSaturation = 0.95
+	slowFactor         = 1.3
+	waitUnit           = 50 * time.Millisecond
 )
 
-// work is how long a run of the route works at the instance now.
+// work draws the work time of a request on the route at this instance, at its present load.
 func (h *host) work(r *Route) time.Duration {
-	w := float64(h.fleet.vary(r.Work)) * h.speed
-	w *= max(h.fleet.trouble(h.instance.Service, func(t *Trouble) float64 { return t.Slow }), 1)
-	if float64(h.gate.Load().InFlight) > kneeFrom*float64(h.instance.Slots) {
-		w *= knee
+	w := float64(h.fleet.sampleWork(r.Work)) * h.speed
+	w *= max(h.fleet.faultLevel(h.instance.Service, func(t *Trouble) float64 { return t.SlowFactor }), 1)
+	if float64(h.gate.Load().InFlight) > slowFromSaturation*float64(h.instance.Slots) {
+		w *= slowFactor
 	}
 	return time.Duration(w)
 }
 
-// gone reports whether the instance takes no request now.
-func (h *host) gone() bool {
-	part := h.fleet.trouble(h.instance.Service, func(t *Trouble) float64 { return t.Gone })
-	return float64(h.ordinal) < part*float64(h.of)
+// unreachable reports whether the instance can't be reached now.
+func (h *host) unreachable() bool {
+	fraction := h.fleet.faultLevel(h.instance.Service, func(t *Trouble) float64 { return t.UnreachableFraction })
+	return float64(h.ordinal) < fraction*float64(h.serviceSize)
 }
 
-func (h *host) found() {
-	h.fullSum += h.gate.Fullness(waitUnit)
-	h.fullCount++
+func (h *host) sampleSaturation() {
+	h.saturationSum += h.gate.Fullness(waitUnit)
+	h.saturationCount++
 }
 
-func (h *host) hold(route string, took time.Duration) {
-	held := h.held[route]
-	h.held[route] = allot.HoldTime{Route: route, Seconds: held.Seconds + took.Seconds(), Count: held.Count + 1}
+func (h *host) recordHoldTime(route string, took time.Duration) {
+	sum := h.holdTimes[route]
+	h.holdTimes[route] = allot.HoldTime{Route: route, Seconds: sum.Seconds + took.Seconds(), Count: sum.Count + 1}
 }
 
-// beat tells the collector what the host sees, and takes in its plan.
-func (h *host) beat() {
+// sendHeartbeat sends the host's report to the collector, applies the reply and schedules the next heartbeat.
+func (h *host) sendHeartbeat() {
 	f := h.fleet
-	f.clock.After(collect.Interval, h.beat)
-	full := h.gate.Fullness(waitUnit)
-	if h.fullCount > 0 {
-		full = h.fullSum / h.fullCount
+	f.clock.After(collect.Interval, h.sendHeartbeat)
+	saturation := h.gate.Fullness(waitUnit)
+	if h.saturationCount > 0 {
+		saturation = h.saturationSum / h.saturationCount
 	}
-	h.fullSum, h.fullCount = 0, 0
-	told := collect.Heartbeat{
+	h.saturationSum, h.saturationCount = 0, 0
+	hb := collect.Heartbeat{
 		From: netip.AddrPortFrom(h.instance.Address.Addr(), 1),
 		Report: demand.Report{
-			Daemons: 1, Services: map[string]demand.Service{h.instance.Service: {Instances: 1, Saturation: full, Slots: h.slots()}},
-			Demand: h.shedder.Demand(f.now()), RetryRates: h.repeats.Report(f.now()),
+			Daemons: 1, Services: map[string]demand.Service{h.instance.Service: {Instances: 1, Saturation: saturation, Slots: h.slots()}},
+			Demand: h.shedder.Demand(f.now()), RetryRates: h.retryBudget.Report(f.now()),
 		},
-		Work:  map[string]collect.Work{h.instance.Service: {HoldTimes: slices.Collect(maps.Values(h.held)), Delivered: h.seen, Retryable: h.wasted}},
+		Work:  map[string]collect.Work{h.instance.Service: {HoldTimes: slices.Collect(maps.Values(h.holdTimes)), Delivered: h.delivered, Retryable: h.retryable}},
 		Calls: h.runs.Calls(),
 	}
-	clear(h.held)
-	h.seen, h.wasted = 0, 0
-	f.clock.After(oneWay, func() {
-		back := f.collector.Handle(told, collect.Fleet{Daemons: len(f.hosts), Shares: f.shares}, f.now())
-		f.clock.After(oneWay, func() {
+	clear(h.holdTimes)
+	h.delivered, h.retryable = 0, 0
+	f.clock.After(hostDelay, func() {
+		reply := f.collector.Handle(hb, collect.Fleet{Daemons: len(f.hosts), Shares: f.shares}, f.now())
+		f.clock.After(hostDelay, func() {
 			if !f.without(mechanism.Plan) {
-				h.shedder.Apply(back.Plan.Allocations, f.now())
+				h.shedder.Apply(reply.Plan.Allocations, f.now())
 			}
 			if !f.without(mechanism.LentRetries) {
-				h.repeats.Apply(back.Grants, told.Report.RetryRates, f.now())
+				h.retryBudget.Apply(reply.Grants, hb.Report.RetryRates, f.now())
 			}
 		})
 	})
 }
 
-// slots are those that can be used now.
+// slots returns the number of slots that can be used now.
 func (h *host) slots() int {
-	if h.gone() {
+	if h.unreachable() {
 		return 0
 	}
 	return h.gate.Load().Limit
--- a/internal/load/mesh/loads_test.go
+++ b/internal/load/mesh/loads_test.go
@@ -7,145 +7,148 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// seeds are those that each load is played with; what is asked for holds for their mean.
+// seeds are the random seeds of each simulation; the tests check the mean over them.
 var seeds = []uint64{1, 2, 3}
 
-// mean plays the scene with all seeds and returns the mean of what is measured.
-func mean(troubles []Trouble, length time.Duration, measure func(Result) float64) float64 {
+// meanOverSeeds simulates Fan with the faults for each seed and returns the mean of the measured values.
+func meanOverSeeds(faults []Trouble, length time.Duration, measure func(Result) float64) float64 {
 	sum := 0.0
 	for _, seed := range seeds {
 		s := Fan(seed)
-		s.Troubles = troubles
+		s.Troubles = faults
 		sum += measure(Play(s, length))
 	}
 	return sum / float64(len(seeds))
 }
 
-// between measures the part of a route's requests of some seconds that is answered in time.
-func between(route string, from, to time.Duration) func(Result) float64 {
+// goodputBetween measures the goodput of a route's requests first sent between from and to.
+func goodputBetween(route string, from, to time.Duration) func(Result) float64 {
 	return func(r Result) float64 {
 		t := r.Between(route, from, to)
 		return t.Goodput()
 	}
 }
 
-// TestSurgeOverAFan guards against a surge of requests that each lead to eight calls of a small service ending them all: the service
-// can do 271 lookups a second beside all the rest, 0.47 of those asked for, and three quarters of these should end in time.
-func TestSurgeOverAFan(t *testing.T) {
-	surge := []Trouble{{From: 2 * time.Second, For: 10 * time.Second, Surge: 1.7}}
-	Convey("What needs little of it and what goes first is served, and lookups get nearly all of the rest", t, func() {
+// TestSurgeWithFanOut guards against a surge in which nearly all requests fail because each makes eight sub-calls of a small
+// service. Next to all other requests, the service has capacity for 271 lookups a second, 0.47 of those sent; three quarters
+// of these should be answered in time.
+func TestSurgeWithFanOut(t *testing.T) {
+	surgeFaults := []Trouble{{From: 2 * time.Second, Duration: 10 * time.Second, SurgeFactor: 1.7}}
+	Convey("Routes of high rank or with few sub-calls are served, and lookups get nearly all of the remaining capacity", t, func() {
 		for _, c := range []struct {
-			route string
-			least float64
+			route      string
+			minGoodput float64
 		}{{"unlock", 0.9}, {"map", 0.9}, {"file", 0.9}, {"lookup", 0.75 * 0.47}} {
-			So(mean(surge, 12*time.Second, between(c.route, 4*time.Second, 12*time.Second)), ShouldBeGreaterThan, c.least)
+			So(meanOverSeeds(surgeFaults, 12*time.Second, goodputBetween(c.route, 4*time.Second, 12*time.Second)), ShouldBeGreaterThan, c.minGoodput)
 		}
 	})
-	Convey("Those that come back are still answered in time", t, func() {
-		So(mean(surge, 12*time.Second, func(r Result) float64 {
+	Convey("Few responses, including those to client retries, miss the target", t, func() {
+		So(meanOverSeeds(surgeFaults, 12*time.Second, func(r Result) float64 {
 			t := r.Between("lookup", 4*time.Second, 12*time.Second)
 			return float64(t.Late) / float64(t.Asked)
 		}), ShouldBeLessThan, 0.03)
 	})
 }
 
-// TestServiceThatTurnsAwayHalf guards against spending the fleet's repeats on eight calls each of requests that fail in the end,
-// while those that need one get none.
-func TestServiceThatTurnsAwayHalf(t *testing.T) {
+// TestServiceDecliningHalf guards against spending the retry budget on requests with eight sub-calls, most of which then
+// fail, while requests that need a single retry get none.
+func TestServiceDecliningHalf(t *testing.T) {
 	const from, to = 11 * time.Second, 17 * time.Second
-	sheds := []Trouble{{From: 10 * time.Second, For: 8 * time.Second, Service: "directory", Sheds: 0.55}}
-	Convey("Three of ten unlocks that the repeats could end are, and most maps", t, func() {
-		// 0.2 repeats for each of 3,400 calls a second are 680, and 100 of them end all maps; an unlock takes 9.8.
+	declineFaults := []Trouble{{From: 10 * time.Second, Duration: 8 * time.Second, Service: "directory", DeclineFraction: 0.55}}
+	Convey("At least three in ten of the unlocks that the retry budget allows succeed, and most maps", t, func() {
+		// The budget is 0.2 retries for each of 3,400 requests a second, that is 680; 100 of them serve all maps, and an unlock needs 9.8.
 		const unlocks = (680 - 100) / 9.8 / 93
-		So(mean(sheds, to, between("unlock", from, to)), ShouldBeGreaterThan, 0.3*unlocks)
-		So(mean(sheds, to, between("map", from, to)), ShouldBeGreaterThan, 0.6)
-		So(mean(sheds, to, between("file", from, to)), ShouldBeGreaterThan, 0.95)
+		So(meanOverSeeds(declineFaults, to, goodputBetween("unlock", from, to)), ShouldBeGreaterThan, 0.3*unlocks)
+		So(meanOverSeeds(declineFaults, to, goodputBetween("map", from, to)), ShouldBeGreaterThan, 0.6)
+		So(meanOverSeeds(declineFaults, to, goodputBetween("file", from, to)), ShouldBeGreaterThan, 0.95)
 	})
-	Convey("What is begun mostly ends well", t, func() {
-		So(mean(sheds, to, func(r Result) float64 {
+	Convey("Most admitted requests succeed", t, func() {
+		So(meanOverSeeds(declineFaults, to, func(r Result) float64 {
 			lookups, unlocks := r.Between("lookup", from, to), r.Between("unlock", from, to)
 			return float64(lookups.Failed+unlocks.Failed) / float64(lookups.Asked+unlocks.Asked)
 		}), ShouldBeLessThan, 0.1)
-		// Guards against counting the calls of runs that failed midway for all that such a run makes.
-		So(mean(sheds, to, func(r Result) float64 {
+		// Guards against taking the sub-calls of a run that failed midway for all that a complete run makes.
+		So(meanOverSeeds(declineFaults, to, func(r Result) float64 {
 			unlocks := r.Between("unlock", from, to)
 			return float64(unlocks.Failed) / float64(unlocks.InTime+unlocks.Late+unlocks.Failed)
 		}), ShouldBeLessThan, 0.5)
 	})
-	Convey("Seconds later nobody is turned away for it", t, func() {
-		So(mean(sheds, 24*time.Second, between("unlock", 20*time.Second, 24*time.Second)), ShouldBeGreaterThan, 0.8)
+	Convey("Two seconds after the fault, hardly any requests are rejected", t, func() {
+		So(meanOverSeeds(declineFaults, 24*time.Second, goodputBetween("unlock", 20*time.Second, 24*time.Second)), ShouldBeGreaterThan, 0.8)
 	})
-	Convey("The fleet keeps within the bound on repeats", t, func() {
+	Convey("The fleet keeps within its retry limits", t, func() {
 		for _, seed := range seeds {
 			s := Fan(seed)
-			s.Troubles = sheds
+			s.Troubles = declineFaults
 			r := Play(s, to)
-			repeats := 0
+			retries := 0
 			for _, t := range r.Routes {
-				repeats += t.Repeats
+				retries += t.Retries
 			}
-			So(repeats, ShouldBeLessThan, 0.2*34_000+50)
+			So(retries, ShouldBeLessThan, 0.2*34_000+50)
 		}
 	})
 }
 
-// TestEndOfTheChainTurnsAwayHalf guards against urgent notices that stand behind lookups where repeats are what is short: each needs five, and
-// in the first second all that were saved up went to the lookups, which are three times as many.
-func TestEndOfTheChainTurnsAwayHalf(t *testing.T) {
+// TestLastServiceDecliningHalf guards against lookups taking precedence over notices of higher rank when the retry budget is
+// the bottleneck: each notice needs five retries, and lookups, about three times as many, can spend the saved budget in the
+// first second.
+func TestLastServiceDecliningHalf(t *testing.T) {
 	const from, to = 13 * time.Second, 21 * time.Second
-	troubles := []Trouble{
-		{From: 500 * time.Millisecond, For: 16 * time.Second, Surge: 1.8},
-		{From: from, For: to - from, Service: "records", Sheds: 0.55},
+	faults := []Trouble{
+		{From: 500 * time.Millisecond, Duration: 16 * time.Second, SurgeFactor: 1.8},
+		{From: from, Duration: to - from, Service: "records", DeclineFraction: 0.55},
 	}
-	var served struct{ notices, lookups, uploads, confirms, failed, over float64 }
+	var means struct{ notices, lookups, uploads, confirms, failed, retryExcess float64 }
 	for _, seed := range seeds {
 		s := Chain(seed)
-		s.Troubles = troubles
+		s.Troubles = faults
 		r := Play(s, 25*time.Second)
-		part := func(route string) float64 {
+		goodput := func(route string) float64 {
 			t := r.Between(route, from, to)
 			return t.Goodput() / float64(len(seeds))
 		}
-		served.notices += part("notice")
-		served.lookups += part("lookup")
-		served.uploads += part("upload")
-		served.confirms += part("confirm")
+		means.notices += goodput("notice")
+		means.lookups += goodput("lookup")
+		means.uploads += goodput("upload")
+		means.confirms += goodput("confirm")
 		notices := r.Between("notice", from+time.Second, to)
-		served.failed += float64(notices.Failed) / float64(notices.Asked) / float64(len(seeds))
-		served.over = max(served.over, r.OverBound("records", s.Repeats))
+		means.failed += float64(notices.Failed) / float64(notices.Asked) / float64(len(seeds))
+		means.retryExcess = max(means.retryExcess, r.RetryExcess("records", s.RetryLimits))
 	}
-	Convey("Notices are served far more often than lookups, and what needs few repeats or none goes on", t, func() {
-		So(served.notices, ShouldBeGreaterThan, 3*served.lookups)
-		// The bound gives some 4,100 repeats in these seconds; confirmations take 350, and a notice five: 700 of the 850 asked.
-		So(served.notices, ShouldBeGreaterThan, 0.5*700/850)
-		So(served.confirms, ShouldBeGreaterThan, 0.5)
-		So(served.uploads, ShouldBeGreaterThan, 0.95)
+	Convey("Notices are served far more often than lookups, and routes that need few or no retries are served", t, func() {
+		So(means.notices, ShouldBeGreaterThan, 3*means.lookups)
+		// The limits allow about 4,100 retries in this interval; confirmations take 350 and each notice five, enough for 700 of the 850 notices.
+		So(means.notices, ShouldBeGreaterThan, 0.5*700/850)
+		So(means.confirms, ShouldBeGreaterThan, 0.5)
+		So(means.uploads, ShouldBeGreaterThan, 0.95)
 	})
-	Convey("From the second second on few notices are begun that fail", t, func() {
-		So(served.failed, ShouldBeLessThan, 0.15)
+	Convey("From one second after the start of the fault, few notices fail after admission", t, func() {
+		So(means.failed, ShouldBeLessThan, 0.15)
 	})
-	Convey("The records get no more repeats than the bound in any window", t, func() {
-		So(served.over, ShouldBeLessThanOrEqualTo, 0)
+	Convey("The records service gets no more retries than the limits allow in any window", t, func() {
+		So(means.retryExcess, ShouldBeLessThanOrEqualTo, 0)
 	})
 }
 
-// TestLostAnswers guards against beginning more requests of eight calls than can be sent again where a fifth of the answers is lost.
+// TestLostAnswers guards against admitting more requests with eight sub-calls than the retry budget can serve when a fifth of
+// the responses is lost.
 func TestLostAnswers(t *testing.T) {
 	const from, to = 11 * time.Second, 17 * time.Second
-	lost := []Trouble{{From: 10 * time.Second, For: 8 * time.Second, Service: "directory", Loses: 0.2}}
-	Convey("Most of what is begun ends well, and what goes first goes on", t, func() {
-		So(mean(lost, to, between("unlock", from, to)), ShouldBeGreaterThan, 0.7)
-		So(mean(lost, to, between("lookup", from, to)), ShouldBeGreaterThan, 0.3)
-		So(mean(lost, to, func(r Result) float64 {
+	lossFaults := []Trouble{{From: 10 * time.Second, Duration: 8 * time.Second, Service: "directory", LossFraction: 0.2}}
+	Convey("Most admitted requests succeed, and high-priority routes are still served", t, func() {
+		So(meanOverSeeds(lossFaults, to, goodputBetween("unlock", from, to)), ShouldBeGreaterThan, 0.7)
+		So(meanOverSeeds(lossFaults, to, goodputBetween("lookup", from, to)), ShouldBeGreaterThan, 0.3)
+		So(meanOverSeeds(lossFaults, to, func(r Result) float64 {
 			lookups := r.Between("lookup", from, to)
 			return float64(lookups.Failed) / float64(lookups.Asked)
 		}), ShouldBeLessThan, 0.2)
 	})
 }
 
-// TestWorkStaysInTheZone guards against sending requests over the links between zones while their own has room.
-func TestWorkStaysInTheZone(t *testing.T) {
-	crossing := func(r Result) float64 {
+// TestRequestsStayInZone guards against sending requests to another availability zone while their own has free slots.
+func TestRequestsStayInZone(t *testing.T) {
+	crossZoneFraction := func(r Result) float64 {
 		crossed, runs := 0, 0
 		for _, t := range r.Routes {
 			crossed += t.CrossZone
@@ -153,18 +156,18 @@
 		}
 		return float64(crossed) / float64(runs)
 	}
-	Convey("On a calm day few leave it", t, func() {
-		So(mean(nil, 6*time.Second, crossing), ShouldBeLessThan, 0.15)
+	Convey("Without faults, few attempts go to another availability zone", t, func() {
+		So(meanOverSeeds(nil, 6*time.Second, crossZoneFraction), ShouldBeLessThan, 0.15)
 	})
-	Convey("Where the zone's instance is gone, they go to others", t, func() {
-		gone := []Trouble{{From: 2 * time.Second, For: 4 * time.Second, Service: "files", Gone: 0.33}}
-		So(mean(gone, 6*time.Second, between("file", 3*time.Second, 6*time.Second)), ShouldBeGreaterThan, 0.9)
+	Convey("Requests are served by other availability zones when the instance in their own is unreachable", t, func() {
+		unreachableFaults := []Trouble{{From: 2 * time.Second, Duration: 4 * time.Second, Service: "files", UnreachableFraction: 0.33}}
+		So(meanOverSeeds(unreachableFaults, 6*time.Second, goodputBetween("file", 3*time.Second, 6*time.Second)), ShouldBeGreaterThan, 0.9)
 	})
 }
 
 func TestSameSeedSameFigures(t *testing.T) {
-	Convey("A scene is played alike with one seed", t, func() {
-		play := func() Tally { return *Play(Fan(9), 3*time.Second).Routes["lookup"] }
-		So(play(), ShouldResemble, play())
+	Convey("Two simulations with the same seed give the same counts", t, func() {
+		lookups := func() Counts { return *Play(Fan(9), 3*time.Second).Routes["lookup"] }
+		So(lookups(), ShouldResemble, lookups())
 	})
 }
--- a/internal/load/mesh/request.go
+++ b/internal/load/mesh/request.go
@@ -11,158 +11,158 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/routing"
 )
 
-// kind is how a request ended.
-type kind uint8
+// outcome is the result of a request.
+type outcome uint8
 
 const (
-	whole kind = iota
+	succeeded outcome = iota
 	notRun
 	failed
 )
 
-// answer is what a request brought back.
+// answer is the response to a request.
 type answer struct {
-	kind       kind
-	ending     choice.Result
+	outcome    outcome
+	result     choice.Result
 	retryAfter time.Duration
 	load       call.Load
-	// arrived means that an instance has seen the request, and callFailed that a call of its run failed.
-	arrived, callFailed bool
-	// lost means that the instance has run the request and its answer was lost.
-	lost bool
+	// delivered means that the request reached an instance, and subcallFailed that a failed sub-call caused its failure.
+	delivered, subcallFailed bool
+	// responseLost means that the instance ran the request but its response was lost.
+	responseLost bool
 }
 
-// request is one request at the daemon of a caller or of an instance that calls.
+// request is one request at the daemon that received it from a caller or from its local instance.
 type request struct {
 	route        *Route
 	root         *Route
 	organisation string
 	deadline     time.Time
-	nested       bool
-	repeat       bool
-	counts       []*Tally
+	subcall      bool
+	retry        bool
+	counts       []*Counts
 	done         func(answer)
-	// ended is set once nobody waits for the answer any more.
-	ended bool
-	// running ends the work that is going on for the request.
-	running func()
+	// finished is set once the request has a response or was cancelled.
+	finished bool
+	// cancelAttempt cancels the current attempt.
+	cancelAttempt func()
 
-	course *offers.Tracker
-	last   answer
+	tracker *offers.Tracker
+	last    answer
 }
 
-// cancel ends a request that nobody waits for any more.
+// cancel cancels the request and its current attempt, since the sender no longer waits for it.
 func (q *request) cancel() {
-	if q.ended {
+	if q.finished {
 		return
 	}
-	q.ended = true
-	if q.running != nil {
-		q.running()
+	q.finished = true
+	if q.cancelAttempt != nil {
+		q.cancelAttempt()
 	}
 }
 
 func (q *request) finish(a answer) {
-	if q.ended {
+	if q.finished {
 		return
 	}
-	q.ended = true
+	q.finished = true
 	q.done(a)
 }
 
-func (q *request) lane() shed.Class {
+func (q *request) class() shed.Class {
 	return shed.Class{Route: q.root.Name, Service: q.root.Service, Rank: q.root.Rank}
 }
 
-// serve lets the request in and places it.
+// serve applies admission control to a caller's request, counts the request for the retry budget and sends the first attempt.
 func (h *host) serve(q *request) {
 	now := h.fleet.now()
-	if !q.nested {
-		if v := h.shedder.Admit(q.lane(), q.route.Target, now); !v.Admitted {
-			q.finish(answer{kind: notRun, retryAfter: v.RetryAfter})
+	if !q.subcall {
+		if decision := h.shedder.Admit(q.class(), q.route.Target, now); !decision.Admitted {
+			q.finish(answer{outcome: notRun, retryAfter: decision.RetryAfter})
 			return
 		}
 	}
-	if q.repeat {
-		h.repeats.Charge(q.route.Service, now)
+	if q.retry {
+		h.retryBudget.Charge(q.route.Service, now)
 	} else {
-		h.repeats.Earn(q.route.Service, now)
-		h.fleet.result.sent(q.route.Service, now.Sub(h.fleet.start)).Requests++
+		h.retryBudget.Earn(q.route.Service, now)
+		h.fleet.result.sentAt(q.route.Service, now.Sub(h.fleet.start)).Requests++
 	}
-	q.course = offers.New(q.route.Attempts, offers.Without(h.fleet.scene.Without))
-	q.last = answer{kind: notRun, retryAfter: shedWait}
-	h.place(q)
+	q.tracker = offers.New(q.route.Attempts, offers.Without(h.fleet.scenario.Without))
+	q.last = answer{outcome: notRun, retryAfter: declinedRetryAfter}
+	h.sendNext(q)
 }
 
-// shedWait is when to come back to a service that turns requests away.
-const shedWait = 250 * time.Millisecond
+// declinedRetryAfter is the Retry-After delay where an instance declined the request or none could be reached.
+const declinedRetryAfter = 250 * time.Millisecond
 
-// place offers the request to the next instance.
-func (h *host) place(q *request) {
+// sendNext sends the next attempt, or finishes the request if no further attempt is allowed.
+func (h *host) sendNext(q *request) {
 	now := h.fleet.now()
-	if q.ended {
+	if q.finished {
 		return
 	}
-	if !q.course.CanRetry() || !now.Before(q.deadline) || q.course.Delivered() && !h.repeats.Spend(q.route.Service, priority(q.root), now) {
+	if !q.tracker.CanRetry() || !now.Before(q.deadline) || q.tracker.Delivered() && !h.retryBudget.Spend(q.route.Service, priority(q.root), now) {
 		q.finish(q.last)
 		return
 	}
-	from, behind := q.course.Candidates(h.fleet.instances[q.route.Service])
-	i, ok := h.chooser.Pick(from, behind, q.deadline.Sub(now), now)
+	candidates, lastResort := q.tracker.Candidates(h.fleet.instances[q.route.Service])
+	instance, ok := h.balancer.Pick(candidates, lastResort, q.deadline.Sub(now), now)
 	if !ok {
 		q.finish(q.last)
 		return
 	}
-	h.offer(q, i)
+	h.sendTo(q, instance)
 }
 
-// offer hands the request to the host of the instance.
-func (h *host) offer(q *request, i routing.Instance) {
+// sendTo sends the request to the host of the instance.
+func (h *host) sendTo(q *request, instance routing.Instance) {
 	sent := h.fleet.now()
-	repeat := q.repeat || q.course.Delivered()
-	to := h.fleet.byID[i.ID]
-	v := &visit{host: to, request: q, repeat: repeat}
-	over := false
-	settle := func(a answer) {
-		if over {
+	retry := q.retry || q.tracker.Delivered()
+	destination := h.fleet.byID[instance.ID]
+	execution := &execution{host: destination, request: q, retry: retry}
+	recorded := false
+	record := func(a answer) {
+		if recorded {
 			return
 		}
-		over = true
-		if a.callFailed {
-			a.ending = choice.Withdrawn
+		recorded = true
+		if a.subcallFailed {
+			a.result = choice.Withdrawn
 		}
-		h.chooser.Record(i, a.ending, h.fleet.now().Sub(sent), a.load, h.fleet.now())
+		h.balancer.Record(instance, a.result, h.fleet.now().Sub(sent), a.load, h.fleet.now())
 	}
-	q.running = func() {
-		settle(answer{ending: choice.Withdrawn})
-		v.cancel()
+	q.cancelAttempt = func() {
+		record(answer{result: choice.Withdrawn})
+		execution.cancel()
 	}
-	v.done = func(a answer) {
-		h.fleet.clock.After(oneWay, func() {
-			settle(a)
-			h.settled(q, i.ID, a)
+	execution.done = func(a answer) {
+		h.fleet.clock.After(hostDelay, func() {
+			record(a)
+			h.handleResult(q, instance.ID, a)
 		})
 	}
 	for _, t := range q.counts {
-		if i.Zone != h.instance.Zone {
+		if instance.Zone != h.instance.Zone {
 			t.CrossZone++
 		}
 	}
-	h.fleet.clock.After(oneWay, v.enter)
+	h.fleet.clock.After(hostDelay, execution.arrive)
 }
 
-// settled takes in how an offer ended.
-func (h *host) settled(q *request, id string, a answer) {
-	if q.ended {
+// handleResult records the result of an attempt and finishes the request or sends the next attempt.
+func (h *host) handleResult(q *request, id string, a answer) {
+	if q.finished {
 		return
 	}
-	q.course.Record(id, a.ending, a.arrived)
-	if q.last.kind == notRun || a.kind != notRun {
+	q.tracker.Record(id, a.result, a.delivered)
+	if q.last.outcome == notRun || a.outcome != notRun {
 		q.last = a
 	}
-	if a.kind == whole || a.kind == failed && (q.route.Once || a.callFailed && !h.fleet.without(mechanism.CallFailures) || !a.lost && a.ending != choice.Failed) {
+	if a.outcome == succeeded || a.outcome == failed && (q.route.AtMostOnce || a.subcallFailed && !h.fleet.without(mechanism.CallFailures) || !a.responseLost && a.result != choice.Failed) {
 		q.finish(q.last)
 		return
 	}
-	h.place(q)
+	h.sendNext(q)
 }
--- a/internal/load/mesh/scene.go
+++ b/internal/load/mesh/scene.go
@@ -8,68 +8,68 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/shed"
 )
 
-// Scene is a fleet with its callers and what befalls them.
+// Scene is a fleet, the load of its callers and the faults injected.
 type Scene struct {
 	Services []Service
 	Routes   []Route
-	// Zones is the number of availability zones, over which instances are dealt in turn.
+	// Zones is the number of availability zones; instances are assigned to them round robin.
 	Zones int
-	// Repeats bound what the fleet sends once more.
-	Repeats  repeats.Limits
-	Troubles []Trouble
-	Seed     uint64
-	// Without are the mechanisms that are switched off.
+	// RetryLimits bound the retries of the whole fleet.
+	RetryLimits repeats.Limits
+	Troubles    []Trouble
+	Seed        uint64
+	// Without is the set of disabled mechanisms.
 	Without mechanism.Set
 }
 
-// Service is a kind of instances.
+// Service describes the instances of a service.
 type Service struct {
 	Name string
-	// Speeds multiply the work of the instances, one for each.
+	// Speeds has one entry for each instance: the factor that its work times are multiplied by.
 	Speeds []float64
 	Slots  int
 }
 
-// Route is a kind of requests to one service.
+// Route describes one kind of request to one service.
 type Route struct {
 	Name    string
 	Service string
-	// PerSecond is what callers ask for; 0 for a route that only instances call.
-	PerSecond float64
-	// Work is the mean own work of a run.
-	Work  time.Duration
-	Calls []Call
-	Rank  shed.Rank
-	// Target is the time within which an answer is as good as it can be, Timeout the operator's longest wait, and Patience
-	// that of the caller.
+	// ArrivalRate is the callers' requests per second; 0 for a route that only instances call.
+	ArrivalRate float64
+	// Work is the mean processing time of a request, without its sub-calls.
+	Work     time.Duration
+	Subcalls []Subcall
+	Rank     shed.Rank
+	// Target is the latency target, Timeout the configured limit for one request, and Patience the caller's limit with its
+	// retry.
 	Target, Timeout, Patience time.Duration
 	Attempts                  int
-	// Once means that a request may not run twice.
-	Once bool
+	// AtMostOnce means that a request that may have run is not retried.
+	AtMostOnce bool
 }
 
-// Call is what a run asks of another route.
-type Call struct {
+// Subcall describes the requests to another route that an instance makes while it runs a request.
+type Subcall struct {
 	Route string
-	Times int
-	// Together means that the calls are made at once and not one after the other.
-	Together bool
+	Count int
+	// Concurrent means that the sub-calls are sent at once instead of one after the other.
+	Concurrent bool
 }
 
-// Trouble is something that befalls the fleet from a moment on, for a while.
+// Trouble is an injected fault that is active from From on, for Duration.
 type Trouble struct {
-	From, For time.Duration
-	// Service is where it strikes; all callers for a surge without one.
+	From, Duration time.Duration
+	// Service is the affected service; it is empty for a surge, which affects all callers.
 	Service string
-	// Surge multiplies what callers ask for.
-	Surge float64
-	// Sheds is the part of its requests that an instance turns away, though it has room.
-	Sheds float64
-	// Loses is the part of the runs whose answer is lost on the way.
-	Loses float64
-	// Slow multiplies the work, and Gone is the part of the instances that take no request.
-	Slow float64
-	Gone float64
+	// SurgeFactor multiplies the arrival rates.
+	SurgeFactor float64
+	// DeclineFraction is the fraction of its requests that an instance declines, although it has free slots.
+	DeclineFraction float64
+	// LossFraction is the fraction of completed requests whose response is lost.
+	LossFraction float64
+	// SlowFactor multiplies the work time, and UnreachableFraction is the fraction of the instances that are unreachable.
+	SlowFactor          float64
+	UnreachableFraction float64
 }
 
-func (t *Trouble) active(at time.Duration) bool { return at >= t.From && at < t.From+t.For }
+func (f *Trouble) active(at time.Duration) bool { return at >= f.From && at < f.From+f.Duration }
--- a/internal/load/mesh/tally.go
+++ b/internal/load/mesh/tally.go
@@ -6,44 +6,46 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/repeats"
 )
 
-// Tally counts what came of callers' requests.
-type Tally struct {
-	Asked, InTime, Late, Refused, Failed int
-	// Runs counts arrivals at instances, and Repeats those beyond a request's first, with the calls of repeated runs.
-	Runs, Repeats int
-	// CrossZone counts the sends to another availability zone.
+// Counts holds the results of callers' requests.
+type Counts struct {
+	Asked, InTime, Late, NotRun, Failed int
+	// Runs counts the executions at instances, and Retries those that are retries or sub-calls of a retry.
+	Runs, Retries int
+	// CrossZone counts the attempts sent to another availability zone.
 	CrossZone int
 }
 
-// Result is what came of a scene.
+// Result holds what a simulation counted.
 type Result struct {
-	// Routes has the tallies by route, and Seconds those of all routes by the second in which a request was first sent.
-	Routes  map[string]*Tally
-	Seconds []map[string]*Tally
-	// Services has what was sent to each service, by the tenth of a second.
+	// Routes has the counts by route, and Seconds the same for each second, by the time at which callers first sent the
+	// requests.
+	Routes  map[string]*Counts
+	Seconds []map[string]*Counts
+	// Services has the requests and retries sent to each service in each tenth of a second.
 	Services map[string][]Sent
 }
 
-// Sent is what was sent to a service over some time, for the first time and once more.
+// Sent counts the first attempts and the retries sent to a service in an interval.
 type Sent struct{ Requests, Retries int }
 
-// perSecond is how many parts of a second what was sent to services is counted in.
-const perSecond = 10
+// binsPerSecond is the resolution of the counts in Result.Services.
+const binsPerSecond = 10
 
-// sent returns the counts of the service at the moment.
-func (r *Result) sent(service string, at time.Duration) *Sent {
-	n := int(at.Seconds() * perSecond)
+// sentAt returns the service's counts for the interval that contains at.
+func (r *Result) sentAt(service string, at time.Duration) *Sent {
+	n := int(at.Seconds() * binsPerSecond)
 	for len(r.Services[service]) <= n {
 		r.Services[service] = append(r.Services[service], Sent{})
 	}
 	return &r.Services[service][n]
 }
 
-// OverBound returns how many repeats the service got beyond the bound in its worst window, below 0 where it was kept in all of them. The
-// requests count that were sent in the window, in the one before it, or in the one half a window before, whichever has most.
-func (r *Result) OverBound(service string, b repeats.Limits) float64 {
+// RetryExcess returns by how many retries the service exceeded the fleet's retry limits in its worst window; it is negative
+// if all windows were within them. The retries of a window are measured against the requests of that window, of the one half
+// a window earlier or of the one before, whichever has the most.
+func (r *Result) RetryExcess(service string, limits repeats.Limits) float64 {
 	sent := r.Services[service]
-	window := int(b.Window.Seconds() * perSecond)
+	window := int(limits.Window.Seconds() * binsPerSecond)
 	sum := func(from int) (sum Sent) {
 		for n := max(from, 0); n < min(from+window, len(sent)); n++ {
 			sum.Requests += sent[n].Requests
@@ -51,33 +53,33 @@
 		}
 		return sum
 	}
-	worst := -b.Slack
+	worst := -limits.Slack
 	for from := range sent {
 		requests := max(sum(from).Requests, sum(from-window/2).Requests, sum(from-window).Requests)
-		worst = max(worst, float64(sum(from).Retries)-b.Ratio*float64(requests)-b.Slack)
+		worst = max(worst, float64(sum(from).Retries)-limits.Ratio*float64(requests)-limits.Slack)
 	}
 	return worst
 }
 
-func (r *Result) at(route string, second int) []*Tally {
+func (r *Result) countsOf(route string, second int) []*Counts {
 	for len(r.Seconds) <= second {
-		r.Seconds = append(r.Seconds, map[string]*Tally{})
+		r.Seconds = append(r.Seconds, map[string]*Counts{})
 	}
-	return []*Tally{tallyOf(r.Routes, route), tallyOf(r.Seconds[second], route)}
+	return []*Counts{counterOf(r.Routes, route), counterOf(r.Seconds[second], route)}
 }
 
-func tallyOf(all map[string]*Tally, route string) *Tally {
-	t := all[route]
-	if t == nil {
-		t = &Tally{}
-		all[route] = t
+func counterOf(all map[string]*Counts, route string) *Counts {
+	counts := all[route]
+	if counts == nil {
+		counts = &Counts{}
+		all[route] = counts
 	}
-	return t
+	return counts
 }
 
-// Between adds up the route's tallies of requests that were first sent in the seconds.
-func (r *Result) Between(route string, from, to time.Duration) Tally {
-	var sum Tally
+// Between sums the route's counts of requests that were first sent between from and to.
+func (r *Result) Between(route string, from, to time.Duration) Counts {
+	var sum Counts
 	for second := int(from.Seconds()); second < min(int(to.Seconds()), len(r.Seconds)); second++ {
 		t := r.Seconds[second][route]
 		if t == nil {
@@ -86,16 +88,16 @@
 		sum.Asked += t.Asked
 		sum.InTime += t.InTime
 		sum.Late += t.Late
-		sum.Refused += t.Refused
+		sum.NotRun += t.NotRun
 		sum.Failed += t.Failed
 		sum.Runs += t.Runs
-		sum.Repeats += t.Repeats
+		sum.Retries += t.Retries
 	}
 	return sum
 }
 
-// Goodput is the part that was answered in time.
-func (t Tally) Goodput() float64 {
+// Goodput returns the fraction of requests that were answered within the target, 0 to 1.
+func (t Counts) Goodput() float64 {
 	if t.Asked == 0 {
 		return 1
 	}
--- a/internal/load/mesh/visit.go
+++ b/internal/load/mesh/visit.go
@@ -12,222 +12,223 @@
 )
 
 const (
-	queueTime      = 250 * time.Millisecond
-	nestedPatience = 0.6
-	slotsPart      = 0.95
-	answerTime     = 10 * time.Millisecond
-	nestedWeight   = 8
-	turnAwayTime   = time.Millisecond
+	maxQueueWait        = 250 * time.Millisecond
+	subcallWaitFraction = 0.6
+	limitFraction       = 0.95
+	responseReserve     = 10 * time.Millisecond
+	subcallWeight       = 8
+	declineDelay        = time.Millisecond
 )
 
 func newGate(slots int) *admission.Gate {
-	return admission.New(limit.NewFixed(max(int(float64(slots)*slotsPart), 1)), admission.WithWait(queueTime))
+	return admission.New(limit.NewFixed(max(int(float64(slots)*limitFraction), 1)), admission.WithWait(maxQueueWait))
 }
 
-// visit is one request at the host of an instance.
-type visit struct {
+// execution is one attempt of a request at the host of an instance.
+type execution struct {
 	host    *host
 	request *request
-	repeat  bool
+	retry   bool
 	done    func(answer)
 
-	ticket   admission.Ticket
-	deadline time.Time
-	entered  bool
-	started  time.Time
-	over     bool
-	calls    []*request
-	lineage  *lineage.Run
+	ticket     admission.Ticket
+	deadline   time.Time
+	admitted   bool
+	started    time.Time
+	ended      bool
+	subcalls   []*request
+	lineageRun *lineage.Run
 }
 
-// Decide tells a visit that waited what became of it.
-func (v *visit) Decide(d admission.Decision) {
-	v.host.fleet.clock.After(0, func() { v.decided(d) })
+// Decide receives the gate's decision on an execution that waited in its queue.
+func (e *execution) Decide(d admission.Decision) {
+	e.host.fleet.clock.After(0, func() { e.handleDecision(d) })
 }
 
-func (v *visit) enter() {
-	f, q := v.host.fleet, v.request
-	if v.over || q.ended {
+func (e *execution) arrive() {
+	f, q := e.host.fleet, e.request
+	if e.ended || q.finished {
 		return
 	}
 	now := f.now()
-	if v.host.gone() {
-		v.end(answer{kind: notRun, ending: choice.Unreachable, retryAfter: shedWait})
+	if e.host.unreachable() {
+		e.end(answer{outcome: notRun, result: choice.Unreachable, retryAfter: declinedRetryAfter})
 		return
 	}
-	v.deadline = q.deadline.Add(-answerTime)
-	v.ticket = admission.Ticket{
-		Operation: q.route.Name, Weight: 1, Priority: priority(q.root), Organisation: q.organisation, Deadline: v.deadline, Waiter: v,
+	e.deadline = q.deadline.Add(-responseReserve)
+	e.ticket = admission.Ticket{
+		Operation: q.route.Name, Weight: 1, Priority: priority(q.root), Organisation: q.organisation, Deadline: e.deadline, Waiter: e,
 	}
-	if q.nested {
-		v.ticket.Priority++
+	if q.subcall {
+		e.ticket.Priority++
 		if f.without(mechanism.RankedSubcalls) {
-			v.ticket.Priority = call.Nested
+			e.ticket.Priority = call.Nested
 		}
-		v.ticket.Organisation, v.ticket.Weight = "", nestedWeight
-		v.ticket.Patience = time.Duration(float64(q.deadline.Sub(now)) * nestedPatience)
+		e.ticket.Organisation, e.ticket.Weight = "", subcallWeight
+		e.ticket.Patience = time.Duration(float64(q.deadline.Sub(now)) * subcallWaitFraction)
 	}
-	v.host.found()
-	d := v.host.gate.Arrive(now, &v.ticket)
+	e.host.sampleSaturation()
+	d := e.host.gate.Arrive(now, &e.ticket)
 	if d.Verdict != admission.Wait {
-		v.decided(d)
+		e.handleDecision(d)
 		return
 	}
-	f.clock.At(v.ticket.StartBy(), func() {
-		if d, left := v.host.gate.Leave(f.now(), &v.ticket); left {
-			v.decided(d)
+	f.clock.At(e.ticket.StartBy(), func() {
+		if d, removed := e.host.gate.Leave(f.now(), &e.ticket); removed {
+			e.handleDecision(d)
 		}
 	})
 }
 
-func (v *visit) decided(d admission.Decision) {
+func (e *execution) handleDecision(d admission.Decision) {
 	if d.Verdict == admission.Run {
-		v.run()
+		e.run()
 		return
 	}
-	v.end(answer{kind: notRun, ending: choice.Refused, retryAfter: d.RetryAfter})
+	e.end(answer{outcome: notRun, result: choice.Refused, retryAfter: d.RetryAfter})
 }
 
-// priority is that of a caller's request on the route, and of the calls made for it.
+// priority returns the queue priority of callers' requests on the root route, from which that of their sub-calls is derived.
 func priority(root *Route) call.Priority {
 	return call.Background + call.Priority(2-min(root.Rank.Organisation, 2))
 }
 
-// run is the visit's time at the instance.
-func (v *visit) run() {
-	f := v.host.fleet
-	v.entered, v.started = true, f.now()
-	if v.over {
-		v.host.gate.Settle(f.now(), &v.ticket, admission.Result{Withdrawn: true})
+// run runs the request on the instance.
+func (e *execution) run() {
+	f := e.host.fleet
+	e.admitted, e.started = true, f.now()
+	if e.ended {
+		e.host.gate.Settle(f.now(), &e.ticket, admission.Result{Withdrawn: true})
 		return
 	}
-	if v.repeat {
-		f.result.sent(v.request.route.Service, f.now().Sub(f.start)).Retries++
+	if e.retry {
+		f.result.sentAt(e.request.route.Service, f.now().Sub(f.start)).Retries++
 	}
-	for _, t := range v.request.counts {
+	for _, t := range e.request.counts {
 		t.Runs++
-		if v.repeat {
-			t.Repeats++
+		if e.retry {
+			t.Retries++
 		}
 	}
-	v.lineage = &lineage.Run{Route: v.request.route.Name, Root: v.request.root.Name, Priority: v.ticket.Priority, Retry: v.repeat}
-	v.host.runs.Begin(v.lineage, v.deadline)
-	v.host.seen++
-	if f.random.Float64() < f.trouble(v.host.instance.Service, func(t *Trouble) float64 { return t.Sheds }) {
-		f.clock.After(turnAwayTime, func() {
-			v.end(answer{kind: notRun, ending: choice.Declined, retryAfter: shedWait, arrived: true})
+	e.lineageRun = &lineage.Run{Route: e.request.route.Name, Root: e.request.root.Name, Priority: e.ticket.Priority, Retry: e.retry}
+	e.host.runs.Begin(e.lineageRun, e.deadline)
+	e.host.delivered++
+	if f.random.Float64() < f.faultLevel(e.host.instance.Service, func(t *Trouble) float64 { return t.DeclineFraction }) {
+		f.clock.After(declineDelay, func() {
+			e.end(answer{outcome: notRun, result: choice.Declined, retryAfter: declinedRetryAfter, delivered: true})
 		})
 		return
 	}
-	f.clock.At(v.deadline, func() { v.end(answer{kind: failed, ending: choice.Lost, arrived: true}) })
-	work := v.host.work(v.request.route)
-	if len(v.request.route.Calls) == 0 {
-		f.clock.After(work, v.served)
+	f.clock.At(e.deadline, func() { e.end(answer{outcome: failed, result: choice.Lost, delivered: true}) })
+	work := e.host.work(e.request.route)
+	if len(e.request.route.Subcalls) == 0 {
+		f.clock.After(work, e.complete)
 		return
 	}
-	f.clock.After(work/2, func() { v.call(0, 0, func() { f.clock.After(work/2, v.served) }) })
+	f.clock.After(work/2, func() { e.runSubcalls(0, 0, func() { f.clock.After(work/2, e.complete) }) })
 }
 
-func (v *visit) served() {
-	f := v.host.fleet
-	if f.random.Float64() < f.trouble(v.host.instance.Service, func(t *Trouble) float64 { return t.Loses }) {
-		v.end(answer{kind: failed, ending: choice.Lost, arrived: true, lost: true})
+func (e *execution) complete() {
+	f := e.host.fleet
+	if f.random.Float64() < f.faultLevel(e.host.instance.Service, func(t *Trouble) float64 { return t.LossFraction }) {
+		e.end(answer{outcome: failed, result: choice.Lost, delivered: true, responseLost: true})
 		return
 	}
-	v.end(answer{kind: whole, ending: choice.Served, arrived: true})
+	e.end(answer{outcome: succeeded, result: choice.Served, delivered: true})
 }
 
-// call makes the calls of the route from the given one on, and then the rest.
-func (v *visit) call(which, made int, then func()) {
-	calls := v.request.route.Calls
+// runSubcalls sends the route's remaining sub-calls, from the entry index on, of which sent are already made, and then calls
+// then.
+func (e *execution) runSubcalls(index, sent int, then func()) {
+	subcalls := e.request.route.Subcalls
 	switch {
-	case v.over:
+	case e.ended:
 		return
-	case which == len(calls):
+	case index == len(subcalls):
 		then()
 		return
-	case made == calls[which].Times:
-		v.call(which+1, 0, then)
+	case sent == subcalls[index].Count:
+		e.runSubcalls(index+1, 0, then)
 		return
 	}
-	c := calls[which]
-	if !c.Together {
-		v.ask(c.Route, func() { v.call(which, made+1, then) })
+	subcall := subcalls[index]
+	if !subcall.Concurrent {
+		e.sendSubcall(subcall.Route, func() { e.runSubcalls(index, sent+1, then) })
 		return
 	}
-	left := c.Times
-	for range c.Times {
-		v.ask(c.Route, func() {
-			if left--; left == 0 {
-				v.call(which+1, 0, then)
+	pending := subcall.Count
+	for range subcall.Count {
+		e.sendSubcall(subcall.Route, func() {
+			if pending--; pending == 0 {
+				e.runSubcalls(index+1, 0, then)
 			}
 		})
 	}
 }
 
-func (v *visit) ask(route string, then func()) {
-	f := v.host.fleet
-	r := f.routes[route]
-	q := &request{route: r, nested: true, counts: v.request.counts, deadline: earlier(v.deadline, f.now().Add(r.Timeout))}
-	parent := v.host.runs.Parent(route, q.deadline)
-	q.root, q.repeat = f.routes[parent.Root], parent.Retry
+func (e *execution) sendSubcall(route string, then func()) {
+	f := e.host.fleet
+	r := f.routesByName[route]
+	q := &request{route: r, subcall: true, counts: e.request.counts, deadline: earlier(e.deadline, f.now().Add(r.Timeout))}
+	parent := e.host.runs.Parent(route, q.deadline)
+	q.root, q.retry = f.routesByName[parent.Root], parent.Retry
 	q.done = func(a answer) {
-		if a.kind == whole {
+		if a.outcome == succeeded {
 			then()
 			return
 		}
-		v.host.runs.CallFailed(parent, route, f.now())
-		v.end(answer{kind: failed, ending: choice.Failed, arrived: true})
+		e.host.runs.CallFailed(parent, route, f.now())
+		e.end(answer{outcome: failed, result: choice.Failed, delivered: true})
 	}
-	v.calls = append(v.calls, q)
-	v.host.serve(q)
+	e.subcalls = append(e.subcalls, q)
+	e.host.serve(q)
 }
 
-func (v *visit) end(a answer) {
-	if v.over {
+func (e *execution) end(a answer) {
+	if e.ended {
 		return
 	}
-	v.over = true
-	if a.arrived {
-		v.judge(&a)
+	e.ended = true
+	if a.delivered {
+		e.classifyFailure(&a)
 	}
-	v.leave(a.ending)
-	a.load = v.host.gate.Load()
-	v.done(a)
+	e.release(a.result)
+	a.load = e.host.gate.Load()
+	e.done(a)
 }
 
-// judge finds out whether a call explains the failure, and counts what has to be sent again.
-func (v *visit) judge(a *answer) {
-	a.callFailed = a.ending == choice.Failed && v.host.runs.CausedByCall(v.lineage, v.host.fleet.now())
-	inVain := a.lost || a.ending == choice.Failed && !a.callFailed
-	if a.ending == choice.Declined || inVain && !v.request.route.Once {
-		v.host.wasted++
+// classifyFailure determines whether a failed sub-call caused the failure, and counts the request if it must be retried.
+func (e *execution) classifyFailure(a *answer) {
+	a.subcallFailed = a.result == choice.Failed && e.host.runs.CausedByCall(e.lineageRun, e.host.fleet.now())
+	mustRetry := a.responseLost || a.result == choice.Failed && !a.subcallFailed
+	if a.result == choice.Declined || mustRetry && !e.request.route.AtMostOnce {
+		e.host.retryable++
 	}
 }
 
-// cancel ends the work of a caller that is gone.
-func (v *visit) cancel() {
-	if v.over {
+// cancel ends the execution, since the sender no longer waits for it.
+func (e *execution) cancel() {
+	if e.ended {
 		return
 	}
-	v.over = true
-	v.leave(choice.Withdrawn)
+	e.ended = true
+	e.release(choice.Withdrawn)
 }
 
-// leave gives the slot back and ends the calls that are going on.
-func (v *visit) leave(e choice.Result) {
-	now := v.host.fleet.now()
-	for _, q := range v.calls {
+// release cancels the running sub-calls and returns the slot, or leaves the queue.
+func (e *execution) release(result choice.Result) {
+	now := e.host.fleet.now()
+	for _, q := range e.subcalls {
 		q.cancel()
 	}
-	if !v.entered {
-		v.host.gate.Leave(now, &v.ticket)
+	if !e.admitted {
+		e.host.gate.Leave(now, &e.ticket)
 		return
 	}
-	v.host.runs.End(v.lineage, e == choice.Served)
-	took := now.Sub(v.started)
-	v.host.gate.Settle(now, &v.ticket, admission.Result{Own: took, Shed: e == choice.Declined, Withdrawn: e == choice.Withdrawn})
-	if e != choice.Declined {
-		v.host.hold(v.request.route.Name, took)
+	e.host.runs.End(e.lineageRun, result == choice.Served)
+	took := now.Sub(e.started)
+	e.host.gate.Settle(now, &e.ticket, admission.Result{Own: took, Shed: result == choice.Declined, Withdrawn: result == choice.Withdrawn})
+	if result != choice.Declined {
+		e.host.recordHoldTime(e.request.route.Name, took)
 	}
 }
