--- a/internal/bench/rates/arrive.go
+++ b/internal/bench/rates/arrive.go
@@ -6,155 +6,158 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// seekBound is how long a request waits for tokens before it is refused.
-const seekBound = 200 * time.Millisecond
+// tokenSearchTimeout is how long a request waits for tokens before it is refused.
+const tokenSearchTimeout = 200 * time.Millisecond
 
-// againWithin is how soon a home must expect a token for it to be waited for before all are asked once more.
-const againWithin = 20 * time.Millisecond
+// maxTokenWait bounds the wait for a token that a home expects. If no home expects one sooner, all homes are asked again at
+// once.
+const maxTokenWait = 20 * time.Millisecond
 
-// Arrive lets a request of an organisation come in at a host.
-func (w *World) Arrive(h *Host, organisation string) { w.Decide(h, organisation, func(bool) {}) }
+// Arrive processes an organisation's request at a host.
+func (sim *Simulation) Arrive(h *Host, organisation string) {
+	sim.Decide(h, organisation, func(bool) {})
+}
 
-// Decide lets a request come in at a host and tells once whether it was
-// admitted, at once or when its wait for tokens is over.
-func (w *World) Decide(h *Host, organisation string, decided func(admitted bool)) {
+// Decide processes an organisation's request at a host and calls decided once with the result, at once or when the token
+// search ends.
+func (sim *Simulation) Decide(h *Host, organisation string, decided func(admitted bool)) {
 	if !h.Alive() {
 		return
 	}
-	w.Counts.Arrivals++
-	w.tally(organisation).Arrivals++
-	if w.ideal.Inside(organisation, w.Now) {
-		w.Counts.Inside++
-		w.tally(organisation).Inside++
+	sim.Counts.Arrivals++
+	sim.countsOf(organisation).Arrivals++
+	if sim.globalBuckets.Inside(organisation, sim.Now) {
+		sim.Counts.Inside++
+		sim.countsOf(organisation).Inside++
 	}
-	if w.way != Lending {
-		w.arriveEqual(h, organisation, decided)
+	if sim.division != Lending {
+		sim.decideEqualSplit(h, organisation, decided)
 		return
 	}
-	if s, ok := h.seeks[organisation]; ok {
-		w.join(h, organisation, s, decided)
+	if search, ok := h.searches[organisation]; ok {
+		sim.joinSearch(h, organisation, search, decided)
 		return
 	}
-	switch t, outcome, _ := h.borrower.Spend(organisation, w.Now); outcome {
+	switch t, outcome, _ := h.borrower.Spend(organisation, sim.Now); outcome {
 	case rate.Spent:
-		w.spent(h, organisation, t, decided)
+		sim.useToken(h, organisation, t, decided)
 	case rate.Refused:
-		w.refuse(organisation, w.blame(organisation, false), decided)
+		sim.refuse(organisation, sim.refusalCause(organisation, false), decided)
 	case rate.Dry:
-		w.Counts.Asked++
-		s := &seek{
-			waiting: []func(bool){decided}, need: rate.Waiting, wait: time.Hour,
-			ends: w.Now.Add(seekBound), homes: h.borrower.Homes(organisation, w.Now),
+		sim.Counts.LeaseNeeded++
+		search := &tokenSearch{
+			waiting: []func(bool){decided}, need: rate.Waiting, expectedWait: time.Hour,
+			deadline: sim.Now.Add(tokenSearchTimeout), homes: h.borrower.Homes(organisation, sim.Now),
 		}
-		h.seeks[organisation] = s
-		w.seek(h, organisation, s)
+		h.searches[organisation] = search
+		sim.searchToken(h, organisation, search)
 	}
 }
 
-func (w *World) join(h *Host, organisation string, s *seek, decided func(bool)) {
-	w.Counts.Asked++
-	h.borrower.Arrived(organisation, w.Now)
-	s.waiting = append(s.waiting, decided)
+func (sim *Simulation) joinSearch(h *Host, organisation string, search *tokenSearch, decided func(bool)) {
+	sim.Counts.LeaseNeeded++
+	h.borrower.Arrived(organisation, sim.Now)
+	search.waiting = append(search.waiting, decided)
 }
 
-func (w *World) arriveEqual(h *Host, organisation string, decided func(bool)) {
-	if h.equal.spend(organisation, w.Now) {
-		w.admit(organisation, decided)
+func (sim *Simulation) decideEqualSplit(h *Host, organisation string, decided func(bool)) {
+	if h.equalSplit.spend(organisation, sim.Now) {
+		sim.admit(organisation, decided)
 		return
 	}
-	w.refuse(organisation, Elsewhere, decided)
+	sim.refuse(organisation, Elsewhere, decided)
 }
 
-// spent lets a request run that has a token, or be turned away without having run.
-func (w *World) spent(h *Host, organisation string, t rate.Token, decided func(bool)) {
-	if w.Overload == 0 || w.rng.Float64() >= w.Overload {
-		w.admit(organisation, decided)
+// useToken admits a request that has a token, or declines it, which returns the token later.
+func (sim *Simulation) useToken(h *Host, organisation string, token rate.Token, decided func(bool)) {
+	if sim.DeclineFraction == 0 || sim.rng.Float64() >= sim.DeclineFraction {
+		sim.admit(organisation, decided)
 		return
 	}
-	w.Counts.TurnedAway++
+	sim.Counts.Declined++
 	decided(true)
-	w.process(h, h.incarnation, w.rngTime(w.OverloadBy), func() {
-		if h.borrower.GiveBack(organisation, t, w.Now) {
-			w.Counts.GivenBack++
+	sim.runOn(h, h.incarnation, sim.randomDuration(sim.MaxDeclineDelay), func() {
+		if h.borrower.GiveBack(organisation, token, sim.Now) {
+			sim.Counts.TokensReturned++
 		}
 	})
 }
 
-func (w *World) admit(organisation string, decided func(bool)) {
-	w.Counts.Admitted++
-	w.tally(organisation).Admitted++
-	w.Checker.Admit(organisation, w.Now)
+func (sim *Simulation) admit(organisation string, decided func(bool)) {
+	sim.Counts.Admitted++
+	sim.countsOf(organisation).Admitted++
+	sim.Checker.Admit(organisation, sim.Now)
 	decided(true)
 }
 
-func (w *World) refuse(organisation string, c Cause, decided func(bool)) {
-	w.Counts.Refused++
-	w.tally(organisation).Refusals[c.String()]++
+func (sim *Simulation) refuse(organisation string, cause Cause, decided func(bool)) {
+	sim.Counts.Refused++
+	sim.countsOf(organisation).Refusals[cause.String()]++
 	decided(false)
 }
 
-func (w *World) seek(h *Host, organisation string, s *seek) {
-	ask, ok := w.nextAsk(h, organisation, s)
-	if !ok && s.need < rate.Gathering && w.Now.Before(s.ends) {
-		wait := s.wait
-		if wait > againWithin {
+func (sim *Simulation) searchToken(h *Host, organisation string, search *tokenSearch) {
+	ask, ok := sim.nextAsk(h, organisation, search)
+	if !ok && search.need < rate.Gathering && sim.Now.Before(search.deadline) {
+		wait := search.expectedWait
+		if wait > maxTokenWait {
 			wait = 0
 		}
-		if s.wait > 0 {
-			s.need = rate.Gathering
+		if search.expectedWait > 0 {
+			search.need = rate.Gathering
 		}
-		s.wait = time.Hour
-		s.homes = h.borrower.Homes(organisation, w.Now)
-		w.process(h, h.incarnation, wait, func() { w.seek(h, organisation, s) })
+		search.expectedWait = time.Hour
+		search.homes = h.borrower.Homes(organisation, sim.Now)
+		sim.runOn(h, h.incarnation, wait, func() { sim.searchToken(h, organisation, search) })
 		return
 	}
-	if !ok || !w.Now.Before(s.ends) {
-		h.borrower.RanDry(organisation, s.wait, w.Now)
-		w.end(h, organisation, s)
+	if !ok || !sim.Now.Before(search.deadline) {
+		h.borrower.RanDry(organisation, search.expectedWait, sim.Now)
+		sim.refuseWaiting(h, organisation, search)
 		return
 	}
-	next := func() {
-		w.serve(h, organisation, s)
-		if len(s.waiting) > 0 {
-			w.seek(h, organisation, s)
+	resume := func() {
+		sim.admitWaiting(h, organisation, search)
+		if len(search.waiting) > 0 {
+			sim.searchToken(h, organisation, search)
 			return
 		}
-		delete(h.seeks, organisation)
+		delete(h.searches, organisation)
 	}
-	w.lease(h, ask, func(r rate.LeaseReply, _ time.Time) {
-		for _, g := range r.Items {
-			s.wait = min(s.wait, g.Wait)
+	sim.lease(h, ask, func(reply rate.LeaseReply, _ time.Time) {
+		for _, grant := range reply.Items {
+			search.expectedWait = min(search.expectedWait, grant.Wait)
 		}
-		s.settled = s.settled || settled(r)
-		next()
-	}, next)
+		search.settled = search.settled || anySettled(reply)
+		resume()
+	}, resume)
 }
 
-func (w *World) nextAsk(h *Host, organisation string, s *seek) (rate.Ask, bool) {
-	for len(s.homes) > 0 {
-		home := s.homes[0]
-		s.homes = s.homes[1:]
-		if ask, ok := h.borrower.Urgent(organisation, home, len(s.waiting), s.need, w.Now); ok {
+func (sim *Simulation) nextAsk(h *Host, organisation string, search *tokenSearch) (rate.Ask, bool) {
+	for len(search.homes) > 0 {
+		home := search.homes[0]
+		search.homes = search.homes[1:]
+		if ask, ok := h.borrower.Urgent(organisation, home, len(search.waiting), search.need, sim.Now); ok {
 			return ask, true
 		}
 	}
 	return rate.Ask{}, false
 }
 
-// serve lets waiting requests spend what has come.
-func (w *World) serve(h *Host, organisation string, s *seek) {
-	for len(s.waiting) > 0 {
-		t, ok := h.borrower.Take(organisation, w.Now)
+// admitWaiting gives the tokens that have arrived to the waiting requests, in order.
+func (sim *Simulation) admitWaiting(h *Host, organisation string, search *tokenSearch) {
+	for len(search.waiting) > 0 {
+		token, ok := h.borrower.Take(organisation, sim.Now)
 		if !ok {
 			return
 		}
-		w.spent(h, organisation, t, s.next())
+		sim.useToken(h, organisation, token, search.popWaiting())
 	}
 }
 
-func (w *World) end(h *Host, organisation string, s *seek) {
-	for len(s.waiting) > 0 {
-		w.refuse(organisation, w.blame(organisation, !s.settled), s.next())
+func (sim *Simulation) refuseWaiting(h *Host, organisation string, search *tokenSearch) {
+	for len(search.waiting) > 0 {
+		sim.refuse(organisation, sim.refusalCause(organisation, !search.settled), search.popWaiting())
 	}
-	delete(h.seeks, organisation)
+	delete(h.searches, organisation)
 }
--- a/internal/bench/rates/checker.go
+++ b/internal/bench/rates/checker.go
@@ -6,71 +6,71 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// Checker is one global bucket that sees every admission of an organisation. An admission
-// that finds it empty breaks the invariant, for some interval that ends there:
-// a bucket admits a sequence exactly when each interval has at most burst + rate × length.
+// Checker keeps one global bucket for each organisation, which sees every admission. An admission that finds the bucket empty
+// violates the invariant in some interval that ends at that time: a bucket admits a sequence exactly if each interval has
+// at most burst + rate × length.
 type Checker struct {
-	buckets map[string]*reference
-	// Excess is the greatest number of tokens that was ever missing.
+	buckets map[string]*bucket
+	// Excess is the greatest number of tokens by which a bucket was overdrawn.
 	Excess float64
-	// When is the time of the first admission over the invariant.
-	When time.Time
+	// FirstExcess is the time of the first admission that violated the invariant.
+	FirstExcess time.Time
 }
 
-type reference struct {
+type bucket struct {
 	rate   float64
 	burst  float64
 	tokens float64
 	last   time.Time
 }
 
-// rounding is what the sums of fractions may be off by.
-const rounding = 1e-6
+// roundingTolerance is the permitted rounding error of sums of token fractions.
+const roundingTolerance = 1e-6
 
 // NewChecker returns a checker for the organisations, with full buckets.
 func NewChecker(organisations []lists.Organisation, now time.Time) *Checker {
-	c := &Checker{buckets: map[string]*reference{}}
+	c := &Checker{buckets: map[string]*bucket{}}
 	for _, o := range organisations {
-		c.buckets[o.Organisation] = &reference{rate: o.Rate, burst: float64(o.Burst), tokens: float64(o.Burst), last: now}
+		c.buckets[o.Organisation] = &bucket{rate: o.Rate, burst: float64(o.Burst), tokens: float64(o.Burst), last: now}
 	}
 	return c
 }
 
-// SetPlan changes what an organisation is measured by from now on.
+// SetPlan sets the rate and burst that an organisation is checked against from now on.
 func (c *Checker) SetPlan(organisation string, rate, burst float64, now time.Time) {
-	r := c.buckets[organisation]
-	r.refill(now)
-	r.tokens += max(burst-r.burst, 0)
-	r.rate, r.burst = rate, burst
+	b := c.buckets[organisation]
+	b.refill(now)
+	b.tokens += max(burst-b.burst, 0)
+	b.rate, b.burst = rate, burst
 }
 
-// Admit takes one admission into account and reports whether the invariant still holds.
+// Admit records one admission and reports whether the invariant holds.
 func (c *Checker) Admit(organisation string, now time.Time) bool {
-	r := c.buckets[organisation]
-	r.refill(now)
-	r.tokens--
-	if r.tokens >= -rounding {
+	b := c.buckets[organisation]
+	b.refill(now)
+	b.tokens--
+	if b.tokens >= -roundingTolerance {
 		return true
 	}
-	if c.When.IsZero() {
-		c.When = now
+	if c.FirstExcess.IsZero() {
+		c.FirstExcess = now
 	}
-	c.Excess = max(c.Excess, -r.tokens)
+	c.Excess = max(c.Excess, -b.tokens)
 	return false
 }
 
-// Inside reports whether one global bucket that sees all arrivals would admit this one, and spends its token.
+// Inside reports whether one global bucket that sees all arrivals would admit this one, and if so takes its token.
 func (c *Checker) Inside(organisation string, now time.Time) bool {
-	r := c.buckets[organisation]
-	r.refill(now)
-	if r.tokens < 1-rounding {
+	b := c.buckets[organisation]
+	b.refill(now)
+	if b.tokens < 1-roundingTolerance {
 		return false
 	}
-	r.tokens--
+	b.tokens--
 	return true
 }
 
-func (r *reference) refill(now time.Time) {
-	r.tokens = min(r.tokens+r.rate*now.Sub(r.last).Seconds(), r.burst)
-	r.last = now
+func (b *bucket) refill(now time.Time) {
+	b.tokens = min(b.tokens+b.rate*now.Sub(b.last).Seconds(), b.burst)
+	b.last = now
 }
--- a/internal/bench/rates/equal.go
+++ b/internal/bench/rates/equal.go
@@ -6,35 +6,35 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// equal is a host's fixed part of every organisation's rate and burst: one in
-// so many hosts as its list has. It is safe while all hosts hold the same list.
-type equal struct {
+// equalSplit gives a host a fixed share of every organisation's rate and burst: 1/n, for the n hosts of its host list. It is
+// safe only while all hosts have the same list.
+type equalSplit struct {
 	plans   map[string]lists.Organisation
 	hosts   int
-	buckets map[string]*reference
+	buckets map[string]*bucket
 }
 
-func newEqual(plans map[string]lists.Organisation) *equal {
-	return &equal{plans: plans, buckets: map[string]*reference{}}
+func newEqualSplit(plans map[string]lists.Organisation) *equalSplit {
+	return &equalSplit{plans: plans, buckets: map[string]*bucket{}}
 }
 
-func (e *equal) setHosts(hosts int) { e.hosts = hosts }
+func (e *equalSplit) setHosts(hosts int) { e.hosts = hosts }
 
-func (e *equal) spend(organisation string, now time.Time) bool {
+func (e *equalSplit) spend(organisation string, now time.Time) bool {
 	o, ok := e.plans[organisation]
 	if !ok || e.hosts == 0 {
 		return false
 	}
-	r, ok := e.buckets[organisation]
+	b, ok := e.buckets[organisation]
 	if !ok {
-		r = &reference{last: now}
-		e.buckets[organisation] = r
+		b = &bucket{last: now}
+		e.buckets[organisation] = b
 	}
-	r.rate, r.burst = o.Rate/float64(e.hosts), float64(o.Burst)/float64(e.hosts)
-	r.refill(now)
-	if r.tokens < 1-rounding {
+	b.rate, b.burst = o.Rate/float64(e.hosts), float64(o.Burst)/float64(e.hosts)
+	b.refill(now)
+	if b.tokens < 1-roundingTolerance {
 		return false
 	}
-	r.tokens--
+	b.tokens--
 	return true
 }
--- a/internal/bench/rates/experiment.go
+++ b/internal/bench/rates/experiment.go
@@ -7,114 +7,115 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// Variant is one way of dividing a rate with its limits.
+// Variant is one way of dividing a rate, with its limits.
 type Variant struct {
-	Name   string
-	Way    Way
-	Limits rate.Limits
+	Name     string
+	Division Division
+	Limits   rate.Limits
 }
 
-// Variants returns the ways that are weighed against each other.
+// Variants returns the variants that are compared.
 func Variants() []Variant {
-	lend := func(name string, fence time.Duration, shards int) Variant {
+	lending := func(name string, fence time.Duration, shards int) Variant {
 		return Variant{Name: name, Limits: rate.Limits{Fence: fence, Loan: time.Second, Shards: shards}}
 	}
 	return []Variant{
-		{Name: "equal split", Way: Equal, Limits: rate.DefaultLimits()},
-		lend("one owner, fence 70m", formerFence, 1),
-		lend("16 shards, fence 30s", 30*time.Second, rate.DefaultShards),
-		lend("16 shards, fence 10m", 10*time.Minute, rate.DefaultShards),
-		lend("16 shards, fence 70m", formerFence, rate.DefaultShards),
-		lend("16 shards, fence 95m", rate.DefaultFence, rate.DefaultShards),
-		lend("64 shards, fence 70m", formerFence, 64),
+		{Name: "equal split", Division: EqualSplit, Limits: rate.DefaultLimits()},
+		lending("one owner, fence 70m", formerFence, 1),
+		lending("16 shards, fence 30s", 30*time.Second, rate.DefaultShards),
+		lending("16 shards, fence 10m", 10*time.Minute, rate.DefaultShards),
+		lending("16 shards, fence 70m", formerFence, rate.DefaultShards),
+		lending("16 shards, fence 95m", rate.DefaultFence, rate.DefaultShards),
+		lending("64 shards, fence 70m", formerFence, 64),
 	}
 }
 
-// formerFence was the default when the ways were weighed; by it their figures can be had again.
+// formerFence was the default when the variants were first compared; it is kept so that those results can be reproduced.
 const formerFence = 70 * time.Minute
 
-// Case is a course of events that variants go through.
+// Case is a scenario of faults that each variant is run through.
 type Case struct {
 	Name string
-	// Length is how long requests are counted, from the first fault on.
+	// Length is the duration in which requests are counted, from the first fault on.
 	Length time.Duration
-	Fault  func(w *World)
+	Fault  func(sim *Simulation)
 }
 
-// Cases returns the courses of events, each of the given length.
+// Cases returns the scenarios.
 func Cases() []Case {
 	return []Case{
-		{"calm", 2 * time.Minute, func(*World) {}},
-		{"crash, back after 5 s", 2 * time.Minute, func(w *World) {
-			h := w.hosts[0]
-			w.Crash(h)
-			w.After(5*time.Second, func() { w.Restart(h) })
+		{"calm", 2 * time.Minute, func(*Simulation) {}},
+		{"crash, back after 5 s", 2 * time.Minute, func(sim *Simulation) {
+			h := sim.hosts[0]
+			sim.Crash(h)
+			sim.After(5*time.Second, func() { sim.Restart(h) })
 		}},
-		{"crash, replaced after 20 s", 10 * time.Minute, func(w *World) {
-			w.Crash(w.hosts[0])
-			w.After(20*time.Second, func() { w.Publish(append(w.hosts[1:len(w.hosts):len(w.hosts)], w.AddHost())) })
+		{"crash, replaced after 20 s", 10 * time.Minute, func(sim *Simulation) {
+			sim.Crash(sim.hosts[0])
+			sim.After(20*time.Second, func() { sim.Publish(append(sim.hosts[1:len(sim.hosts):len(sim.hosts)], sim.AddHost())) })
 		}},
-		{"rolling restart", 5 * time.Minute, rolling},
-		{"zone cut 10 min", 12 * time.Minute, func(w *World) { zoneCut(w, 10*time.Minute) }},
-		{"zone cut 1 h", 65 * time.Minute, func(w *World) { zoneCut(w, time.Hour) }},
-		{"stale list on a third", 10 * time.Minute, staleThird},
+		{"rolling restart", 5 * time.Minute, rollingRestart},
+		{"zone cut 10 min", 12 * time.Minute, func(sim *Simulation) { partitionZone(sim, 10*time.Minute) }},
+		{"zone cut 1 h", 65 * time.Minute, func(sim *Simulation) { partitionZone(sim, time.Hour) }},
+		{"stale list on a third", 10 * time.Minute, replaceHostWithStaleLists},
 	}
 }
 
-// rolling restarts every host once, spread over the first four minutes.
-func rolling(w *World) {
-	gap := 4 * time.Minute / time.Duration(len(w.hosts))
-	for i, h := range w.hosts {
-		w.After(time.Duration(i)*gap, func() { w.Leave(h) })
-		w.After(time.Duration(i)*gap+2*time.Second, func() { w.Restart(h) })
+// rollingRestart restarts every host once, spread over four minutes.
+func rollingRestart(sim *Simulation) {
+	interval := 4 * time.Minute / time.Duration(len(sim.hosts))
+	for i, h := range sim.hosts {
+		sim.After(time.Duration(i)*interval, func() { sim.Leave(h) })
+		sim.After(time.Duration(i)*interval+2*time.Second, func() { sim.Restart(h) })
 	}
 }
 
-// zoneCut separates one availability zone, whose hosts read a stale list, and the platform drops them.
-func zoneCut(w *World, length time.Duration) {
-	w.Cut(func(a, b *Host) bool { return (a.Zone == 0) != (b.Zone == 0) })
-	all := append([]*Host(nil), w.hosts...)
-	var rest []*Host
-	for _, h := range w.hosts {
+// partitionZone separates one availability zone, whose hosts keep reading a stale host list, and then removes them from the
+// list.
+func partitionZone(sim *Simulation, length time.Duration) {
+	sim.Partition(func(a, b *Host) bool { return (a.Zone == 0) != (b.Zone == 0) })
+	all := append([]*Host(nil), sim.hosts...)
+	var remaining []*Host
+	for _, h := range sim.hosts {
 		if h.Zone == 0 {
-			w.SetStale(h, true)
+			sim.SetStale(h, true)
 		} else {
-			rest = append(rest, h)
+			remaining = append(remaining, h)
 		}
 	}
-	w.After(20*time.Second, func() { w.Publish(rest) })
-	w.After(length, func() {
-		w.Heal()
-		w.Publish(all)
+	sim.After(20*time.Second, func() { sim.Publish(remaining) })
+	sim.After(length, func() {
+		sim.Heal()
+		sim.Publish(all)
 		for _, h := range all {
-			w.SetStale(h, false)
+			sim.SetStale(h, false)
 		}
 	})
 }
 
-// staleThird lets a host be replaced while a third of the others don't hear of it.
-func staleThird(w *World) {
-	for i, h := range w.hosts {
+// replaceHostWithStaleLists replaces a host while a third of the hosts keep reading a stale host list.
+func replaceHostWithStaleLists(sim *Simulation) {
+	for i, h := range sim.hosts {
 		if i%3 == 1 {
-			w.SetStale(h, true)
+			sim.SetStale(h, true)
 		}
 	}
-	w.Leave(w.hosts[0])
-	w.After(5*time.Second, func() { w.Publish(append(w.hosts[1:len(w.hosts):len(w.hosts)], w.AddHost())) })
+	sim.Leave(sim.hosts[0])
+	sim.After(5*time.Second, func() { sim.Publish(append(sim.hosts[1:len(sim.hosts):len(sim.hosts)], sim.AddHost())) })
 }
 
-// Arrival is where the callers of an organisation come in.
+// Arrival is how an organisation's requests are distributed over the hosts.
 type Arrival uint8
 
-// The arrivals that are compared.
+// The distributions that are compared.
 const (
-	// Uniform callers come in at all hosts alike.
+	// Uniform requests arrive at all hosts alike.
 	Uniform Arrival = iota
-	// Skewed callers of one organisation come in at one host, another for each organisation, in each zone.
+	// Skewed requests of one organisation arrive at one host of each availability zone, at different ones for each organisation.
 	Skewed
 )
 
-// String returns the arrival's name.
+// String returns the name of the distribution.
 func (a Arrival) String() string {
 	if a == Uniform {
 		return "uniform"
@@ -122,7 +123,7 @@
 	return "skewed"
 }
 
-// Result is what one run measured.
+// Result holds the measurements of one run.
 type Result struct {
 	Variant string  `json:"variant"`
 	Case    string  `json:"case"`
@@ -131,18 +132,19 @@
 	Counts  Counts  `json:"counts"`
 	Percent float64 `json:"wrongfulPercent"`
 	Asking  float64 `json:"askedPercent"`
-	// Messages are sent per host and second, answers counted.
+	// Messages is the number of messages sent per host and second, including replies.
 	Messages float64 `json:"messagesPerHostSecond"`
-	// Bytes are those of lease messages, sent per host and second.
+	// Bytes is the size of the lease messages sent per host and second.
 	Bytes float64 `json:"leaseBytesPerHostSecond"`
-	// Excess is how many tokens the invariant was broken by, 0 if it held.
+	// Excess is the greatest number of tokens by which an organisation exceeded its rate and burst, 0 if none did.
 	Excess float64 `json:"excess"`
-	// Organisations tells the same of each organisation.
-	Organisations []Tally `json:"organisations"`
+	// Organisations has the counts of each organisation.
+	Organisations []OrganisationCount `json:"organisations"`
 }
 
-// loadShare is the offered load as a share of each organisation's rate: inside it, so that all refusals are wrongful.
-const loadShare = 0.8
+// offeredLoad is the offered load as a fraction of each organisation's rate. It is below 1, so that refusals within the rate
+// show a fault.
+const offeredLoad = 0.8
 
 // Organisations returns eight plans, a few of them large.
 func Organisations() []lists.Organisation {
@@ -158,47 +160,47 @@
 	}
 }
 
-// settleTime is how long a fleet runs before anything is counted.
-const settleTime = time.Minute
+// warmUpTime is how long a fleet runs before anything is counted.
+const warmUpTime = time.Minute
 
-// Run takes a fleet through a case.
+// Run runs a fleet with the variant through the case.
 func Run(v Variant, c Case, a Arrival, hosts int, seed uint64) Result {
-	w := NewWorld(seed, v.Way, v.Limits, Organisations())
+	sim := NewSimulation(seed, v.Division, v.Limits, Organisations())
 	for range hosts {
-		w.AddHost()
+		sim.AddHost()
 	}
-	w.Publish(w.Hosts())
-	w.Run(2 * time.Second)
-	for i, o := range w.plans {
-		w.offer(o, i, a, hosts)
+	sim.Publish(sim.Hosts())
+	sim.Run(2 * time.Second)
+	for i, o := range sim.plans {
+		sim.startArrivals(o, i, a, hosts)
 	}
-	w.Run(settleTime)
-	w.Reset()
-	c.Fault(w)
-	w.Run(c.Length)
-	r := Result{Variant: v.Name, Case: c.Name, Arrival: a.String(), Hosts: hosts, Counts: w.Counts, Excess: w.Checker.Excess, Organisations: w.Tallies()}
-	r.Percent = 100 * float64(w.Counts.Wrongful()) / float64(max(w.Counts.Inside, 1))
-	r.Asking = 100 * float64(w.Counts.Asked) / float64(max(w.Counts.Arrivals, 1))
-	r.Messages = float64(w.Counts.Messages) / float64(hosts) / c.Length.Seconds()
-	r.Bytes = float64(w.Counts.Bytes) / float64(hosts) / c.Length.Seconds()
+	sim.Run(warmUpTime)
+	sim.Reset()
+	c.Fault(sim)
+	sim.Run(c.Length)
+	r := Result{Variant: v.Name, Case: c.Name, Arrival: a.String(), Hosts: hosts, Counts: sim.Counts, Excess: sim.Checker.Excess, Organisations: sim.OrganisationCounts()}
+	r.Percent = 100 * float64(sim.Counts.Wrongful()) / float64(max(sim.Counts.Inside, 1))
+	r.Asking = 100 * float64(sim.Counts.LeaseNeeded) / float64(max(sim.Counts.Arrivals, 1))
+	r.Messages = float64(sim.Counts.Messages) / float64(hosts) / c.Length.Seconds()
+	r.Bytes = float64(sim.Counts.Bytes) / float64(hosts) / c.Length.Seconds()
 	return r
 }
 
-// offer lets an organisation's requests arrive as a Poisson process. A caller
-// whose host does not run goes to the next one in the same availability zone.
-func (w *World) offer(o lists.Organisation, number int, a Arrival, hosts int) {
-	mean := 1 / (o.Rate * loadShare)
+// startArrivals starts an organisation's requests as a Poisson process. A request whose host does not run goes to the next
+// host in the same availability zone.
+func (sim *Simulation) startArrivals(o lists.Organisation, number int, a Arrival, hosts int) {
+	mean := 1 / (o.Rate * offeredLoad)
 	var next func()
 	next = func() {
-		at := w.rng.IntN(hosts)
+		index := sim.rng.IntN(hosts)
 		if a == Skewed {
-			at = (number + w.rng.IntN(zones)) % hosts
+			index = (number + sim.rng.IntN(zones)) % hosts
 		}
-		for tries := 0; tries < hosts && !w.hosts[at].Alive(); tries++ {
-			at = (at + zones) % hosts
+		for tries := 0; tries < hosts && !sim.hosts[index].Alive(); tries++ {
+			index = (index + zones) % hosts
 		}
-		w.Arrive(w.hosts[at], o.Organisation)
-		w.After(time.Duration(w.rng.ExpFloat64()*mean*float64(time.Second))+1, next)
+		sim.Arrive(sim.hosts[index], o.Organisation)
+		sim.After(time.Duration(sim.rng.ExpFloat64()*mean*float64(time.Second))+1, next)
 	}
-	w.After(1, next)
+	sim.After(1, next)
 }
--- a/internal/bench/rates/messages.go
+++ b/internal/bench/rates/messages.go
@@ -8,131 +8,130 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// confirmEvery is the time between two questions to members while there are some to ask, as in the daemon.
-const confirmEvery = 20 * time.Millisecond
+// confirmInterval is the time between two statement requests while there are members to ask, as in the daemon.
+const confirmInterval = 20 * time.Millisecond
 
-func (w *World) tick(h *Host, incarnation uint64) {
-	if w.way != Lending {
+func (sim *Simulation) startTimers(h *Host, incarnation uint64) {
+	if sim.division != Lending {
 		return
 	}
 	var confirm, prefetch func()
 	confirm = func() {
-		pace := rate.TickEvery
-		if m, ok := h.home.NextAsk(w.Now); ok {
-			w.confirm(h, m)
-			pace = confirmEvery
+		interval := rate.TickEvery
+		if m, ok := h.home.NextAsk(sim.Now); ok {
+			sim.requestStatement(h, m)
+			interval = confirmInterval
 		}
-		w.process(h, incarnation, pace, confirm)
+		sim.runOn(h, incarnation, interval, confirm)
 	}
 	prefetch = func() {
-		h.home.Tick(w.Now)
-		for _, ask := range h.borrower.Tick(w.Now) {
-			w.lease(h, ask, func(rate.LeaseReply, time.Time) {}, func() {})
+		h.home.Tick(sim.Now)
+		for _, ask := range h.borrower.Tick(sim.Now) {
+			sim.lease(h, ask, func(rate.LeaseReply, time.Time) {}, func() {})
 		}
-		w.process(h, incarnation, rate.TickEvery, prefetch)
+		sim.runOn(h, incarnation, rate.TickEvery, prefetch)
 	}
-	w.process(h, incarnation, w.rngTime(confirmEvery), confirm)
-	w.process(h, incarnation, w.rngTime(rate.TickEvery), prefetch)
+	sim.runOn(h, incarnation, sim.randomDuration(confirmInterval), confirm)
+	sim.runOn(h, incarnation, sim.randomDuration(rate.TickEvery), prefetch)
 }
 
-// send carries a message from a to b, and runs arrive there as often as the network wants.
+// send sends a message from a to b and runs deliver on b for each copy that arrives.
 //
-// A connection ends with the process at either end, so a message reaches only
-// the process it was meant for.
-func (w *World) send(a, b *Host, incarnation uint64, arrive func()) {
+// A connection ends with the process at either end, so a message only reaches the incarnation that it was sent to.
+func (sim *Simulation) send(a, b *Host, incarnation uint64, deliver func()) {
 	if a != b {
-		w.Counts.Messages++
+		sim.Counts.Messages++
 	}
 	copies := 1
 	if a != b {
-		if w.rng.Float64() < w.Network.Lost {
+		if sim.rng.Float64() < sim.Network.LossFraction {
 			copies = 0
 		}
-		if w.rng.Float64() < w.Network.Doubled {
+		if sim.rng.Float64() < sim.Network.DuplicateFraction {
 			copies++
 		}
 	}
 	for range copies {
-		if w.cut(a, b) {
+		if sim.partitioned(a, b) {
 			continue
 		}
-		w.process(b, incarnation, w.delay(a, b), arrive)
+		sim.runOn(b, incarnation, sim.delay(a, b), deliver)
 	}
 }
 
-func (w *World) delay(a, b *Host) time.Duration {
+func (sim *Simulation) delay(a, b *Host) time.Duration {
 	if a == b {
 		return 0
 	}
-	d := w.Network.Least
-	if w.Network.Spread > 0 {
-		d += w.rngTime(w.Network.Spread)
+	delay := sim.Network.MinDelay
+	if sim.Network.DelaySpread > 0 {
+		delay += sim.randomDuration(sim.Network.DelaySpread)
 	}
 	if a.Zone != b.Zone {
-		d += time.Millisecond
+		delay += time.Millisecond
 	}
-	if w.Network.LateBy > 0 && w.rng.Float64() < w.Network.Late {
-		d += w.rngTime(w.Network.LateBy)
+	if sim.Network.MaxLateness > 0 && sim.rng.Float64() < sim.Network.LateFraction {
+		delay += sim.randomDuration(sim.Network.MaxLateness)
 	}
-	return d
+	return delay
 }
 
-func (w *World) confirm(h *Host, to rate.Member) {
-	other, ok := w.byName[to]
+func (sim *Simulation) requestStatement(h *Host, member rate.Member) {
+	other, ok := sim.byName[member]
 	if !ok {
 		return
 	}
-	incarnation, asked, ask := h.incarnation, w.Now, h.home.Statement(w.Now)
-	w.send(h, other, other.incarnation, func() {
-		answer := other.home.AnswerStatement(ask, w.Now)
-		w.send(other, h, incarnation, func() { h.home.Hear(answer, asked, w.Now) })
+	incarnation, asked, ask := h.incarnation, sim.Now, h.home.Statement(sim.Now)
+	sim.send(h, other, other.incarnation, func() {
+		reply := other.home.AnswerStatement(ask, sim.Now)
+		sim.send(other, h, incarnation, func() { h.home.Hear(reply, asked, sim.Now) })
 	})
 }
 
-// frameBytes is what a frame between daemons takes besides its message.
+// frameBytes is the overhead of a frame between daemons.
 const frameBytes = 14
 
-// weigh counts the bytes of a lease message as they would be on the wire.
-func (w *World) weigh(a, b *Host, message any) {
+// countBytes adds the encoded size of a lease message to the counts.
+func (sim *Simulation) countBytes(a, b *Host, message any) {
 	if a == b {
 		return
 	}
-	w.wire.Reset()
-	out := msgpack.NewEncoder(&w.wire)
-	out.UseCompactInts(true)
-	if err := out.Encode(message); err != nil {
+	sim.encodeBuffer.Reset()
+	encoder := msgpack.NewEncoder(&sim.encodeBuffer)
+	encoder.UseCompactInts(true)
+	if err := encoder.Encode(message); err != nil {
 		panic(err)
 	}
-	w.Counts.Bytes += frameBytes + w.wire.Len()
+	sim.Counts.Bytes += frameBytes + sim.encodeBuffer.Len()
 }
 
-// askBound is how long a waiting request's question may take; homes slower than that are passed over.
-const askBound = 50 * time.Millisecond
+// leaseTimeout is the longest wait for a lease reply; after it, the next home is asked.
+const leaseTimeout = 50 * time.Millisecond
 
-func (w *World) lease(h *Host, ask rate.Ask, done func(rate.LeaseReply, time.Time), lost func()) {
-	other, ok := w.byName[ask.Home]
+func (sim *Simulation) lease(h *Host, ask rate.Ask, done func(rate.LeaseReply, time.Time), failed func()) {
+	other, ok := sim.byName[ask.Home]
 	if !ok {
-		lost()
+		failed()
 		return
 	}
-	incarnation, asked, over := h.incarnation, w.Now, false
-	w.weigh(h, other, ask.Message)
-	w.send(h, other, other.incarnation, func() {
-		reply := other.home.AnswerLease(ask.Message, w.Now)
-		w.weigh(other, h, reply)
-		w.send(other, h, incarnation, func() {
-			h.borrower.Hear(ask.Home, reply, asked, w.Now)
-			if !over {
-				over = true
+	incarnation, asked, finished := h.incarnation, sim.Now, false
+	sim.countBytes(h, other, ask.Message)
+	sim.send(h, other, other.incarnation, func() {
+		reply := other.home.AnswerLease(ask.Message, sim.Now)
+		sim.countBytes(other, h, reply)
+		sim.send(other, h, incarnation, func() {
+			h.borrower.Hear(ask.Home, reply, asked, sim.Now)
+			if !finished {
+				finished = true
 				done(reply, asked)
 			}
 		})
 	})
-	w.process(h, h.incarnation, askBound, func() {
-		if !over {
-			over = true
-			h.borrower.Lost(ask, w.Now)
-			lost()
+	sim.runOn(h, h.incarnation, leaseTimeout, func() {
+		if !finished {
+			finished = true
+			h.borrower.Lost(ask, sim.Now)
+			failed()
 		}
 	})
 }
--- a/internal/bench/rates/schedule_test.go
+++ b/internal/bench/rates/schedule_test.go
@@ -10,175 +10,176 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// schedule is a random course of faults over a world.
+// schedule is a random sequence of faults in a simulation.
 type schedule struct {
-	world  *World
+	sim    *Simulation
 	listed []*Host
-	// changed are the times of recent changes of the list: lists in use at once differ by less than a third.
-	changed []time.Time
-	// doubled and lacking tell how the plans stand; lowered waits until every process knows.
-	doubled bool
-	lacking bool
-	known   time.Time
+	// listChanges has the times of recent changes of the host list. They are limited, since lists in use at the same time must
+	// differ by less than a third.
+	listChanges []time.Time
+	// planDoubled and planRemoved are the current changes of the plans. appliedSince is when all processes had applied the
+	// latest plans, from which time on the lower plan is checked.
+	planDoubled  bool
+	planRemoved  bool
+	appliedSince time.Time
 }
 
 const (
 	scheduleHosts = 7
-	// farApart is longer than any host may act on an old list.
-	farApart = 30 * time.Second
-	// changesAtOnce is how many hosts of seven may enter or leave within that time.
-	changesAtOnce = 2
+	// maxStaleTime is longer than any host may act on an old list.
+	maxStaleTime = 30 * time.Second
+	// maxRecentChanges is how many of the seven hosts may join or leave within twice that time.
+	maxRecentChanges = 2
 )
 
-func newSchedule(t *rapid.T, l rate.Limits, opts ...rate.MembershipOption) *schedule {
-	w := NewWorld(rapid.Uint64().Draw(t, "seed"), Lending, l, testPlans, opts...)
-	w.Network = Network{
-		Least: 200 * time.Microsecond, Spread: 2 * time.Millisecond,
-		Lost:    rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "lost"),
-		Doubled: rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "doubled"),
-		Late:    rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "late"), LateBy: 3 * time.Second,
+func newSchedule(t *rapid.T, limits rate.Limits, opts ...rate.MembershipOption) *schedule {
+	sim := NewSimulation(rapid.Uint64().Draw(t, "seed"), Lending, limits, testPlans, opts...)
+	sim.Network = Network{
+		MinDelay: 200 * time.Microsecond, DelaySpread: 2 * time.Millisecond,
+		LossFraction:      rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "lost"),
+		DuplicateFraction: rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "doubled"),
+		LateFraction:      rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "late"), MaxLateness: 3 * time.Second,
 	}
-	w.Overload = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "overload")
-	w.OverloadBy = 400 * time.Millisecond
+	sim.DeclineFraction = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "overload")
+	sim.MaxDeclineDelay = 400 * time.Millisecond
 	for range scheduleHosts {
-		w.AddHost()
+		sim.AddHost()
 	}
-	s := &schedule{world: w, listed: append([]*Host(nil), w.Hosts()...)}
-	w.Publish(s.listed)
-	for i, h := range w.hosts {
-		steady(w, h, "large", []float64{80, 30, 5}[i%3])
-		steady(w, h, "middle", 8)
-		steady(w, h, "tiny", 1)
+	s := &schedule{sim: sim, listed: append([]*Host(nil), sim.Hosts()...)}
+	sim.Publish(s.listed)
+	for i, h := range sim.hosts {
+		startCallers(sim, h, "large", []float64{80, 30, 5}[i%3])
+		startCallers(sim, h, "middle", 8)
+		startCallers(sim, h, "tiny", 1)
 	}
 	return s
 }
 
 func (s *schedule) host(t *rapid.T) *Host {
-	return s.world.hosts[rapid.IntRange(0, len(s.world.hosts)-1).Draw(t, "host")]
+	return s.sim.hosts[rapid.IntRange(0, len(s.sim.hosts)-1).Draw(t, "host")]
 }
 
-// mayChange keeps to the bound on how far lists in use at once may differ.
+// mayChange reports whether the host list may change now, and if so records the change.
 func (s *schedule) mayChange() bool {
-	recent := s.changed[:0]
-	for _, at := range s.changed {
-		if s.world.Now.Sub(at) < 2*farApart {
+	recent := s.listChanges[:0]
+	for _, at := range s.listChanges {
+		if s.sim.Now.Sub(at) < 2*maxStaleTime {
 			recent = append(recent, at)
 		}
 	}
-	s.changed = recent
-	if len(recent) >= changesAtOnce {
+	s.listChanges = recent
+	if len(recent) >= maxRecentChanges {
 		return false
 	}
-	s.changed = append(s.changed, s.world.Now)
+	s.listChanges = append(s.listChanges, s.sim.Now)
 	return true
 }
 
-// publishPlans changes the plans. Until every process knows, the greater of old and new counts.
+// publishPlans changes the plans. Until every process has applied them, the higher of the old and the new plan is checked.
 func (s *schedule) publishPlans() {
 	plans := slices.Clone(testPlans)
-	if s.doubled {
+	if s.planDoubled {
 		plans[1].Rate *= 2
 		plans[1].Burst *= 2
-		s.world.Checker.SetPlan("middle", plans[1].Rate, float64(plans[1].Burst), s.world.Now)
+		s.sim.Checker.SetPlan("middle", plans[1].Rate, float64(plans[1].Burst), s.sim.Now)
 	}
-	if s.lacking {
+	if s.planRemoved {
 		plans = plans[:2]
 	}
-	s.world.SetPlans(plans)
-	s.known = time.Time{}
+	s.sim.SetPlans(plans)
+	s.appliedSince = time.Time{}
 }
 
-// settlePlans measures by the lower plan once every process has known it for longer than a loan.
-func (s *schedule) settlePlans() {
-	w := s.world
+// lowerCheckedPlan checks the lower plan once every process has had it for longer than a loan lasts.
+func (s *schedule) lowerCheckedPlan() {
+	sim := s.sim
 	switch {
-	case s.doubled || !w.PlansKnown():
-		s.known = time.Time{}
-	case s.known.IsZero():
-		s.known = w.Now
-	case w.Now.Sub(s.known) > 2*testLimits.Loan:
-		w.Checker.SetPlan("middle", testPlans[1].Rate, float64(testPlans[1].Burst), w.Now)
+	case s.planDoubled || !sim.PlansApplied():
+		s.appliedSince = time.Time{}
+	case s.appliedSince.IsZero():
+		s.appliedSince = sim.Now
+	case sim.Now.Sub(s.appliedSince) > 2*testLimits.Loan:
+		sim.Checker.SetPlan("middle", testPlans[1].Rate, float64(testPlans[1].Burst), sim.Now)
 	}
 }
 
 func (s *schedule) step(t *rapid.T) {
-	w := s.world
+	sim := s.sim
 	h := s.host(t)
 	switch rapid.IntRange(0, 13).Draw(t, "action") {
 	case 0:
-		w.Crash(h)
+		sim.Crash(h)
 	case 1, 2:
 		if h.Alive() {
-			w.Leave(h)
+			sim.Leave(h)
 		}
 	case 3, 4:
-		w.Restart(h)
+		sim.Restart(h)
 	case 5:
-		w.Pause(h)
+		sim.Pause(h)
 	case 6:
 		if h.paused {
-			w.Resume(h)
+			sim.Resume(h)
 		}
 	case 7:
 		side := rapid.IntRange(1, scheduleHosts-1).Draw(t, "side")
-		w.Cut(func(a, b *Host) bool { return (a.Number <= side) != (b.Number <= side) })
+		sim.Partition(func(a, b *Host) bool { return (a.Number <= side) != (b.Number <= side) })
 	case 8:
-		w.Heal()
+		sim.Heal()
 	case 9:
-		w.SetStale(h, !h.stale)
+		sim.SetStale(h, !h.stale)
 	case 10:
 		if s.mayChange() {
-			s.drop(h)
+			s.removeFromList(h)
 		}
 	case 11:
 		if s.mayChange() {
-			s.join(h)
+			s.addToList(h)
 		}
 	case 12:
-		s.doubled = !s.doubled
+		s.planDoubled = !s.planDoubled
 		s.publishPlans()
 	case 13:
-		s.lacking = !s.lacking
+		s.planRemoved = !s.planRemoved
 		s.publishPlans()
 	}
-	w.Run(time.Duration(rapid.SampledFrom([]int{10, 200, 2000, 9000, 25000}).Draw(t, "ms")) * time.Millisecond)
+	sim.Run(time.Duration(rapid.SampledFrom([]int{10, 200, 2000, 9000, 25000}).Draw(t, "ms")) * time.Millisecond)
 }
 
-func (s *schedule) drop(h *Host) {
-	var rest []*Host
+func (s *schedule) removeFromList(h *Host) {
+	var remaining []*Host
 	for _, e := range s.listed {
 		if e != h {
-			rest = append(rest, e)
+			remaining = append(remaining, e)
 		}
 	}
-	s.listed = rest
-	s.world.Publish(rest)
+	s.listed = remaining
+	s.sim.Publish(remaining)
 }
 
-func (s *schedule) join(h *Host) {
-	s.drop(h)
+func (s *schedule) addToList(h *Host) {
+	s.removeFromList(h)
 	s.listed = append(s.listed, h)
-	s.world.Publish(s.listed)
+	s.sim.Publish(s.listed)
 }
 
 const scheduleSteps = 25
 
-// Messages are lost, doubled and late, processes pause, end and start again, the fleet
-// is cut and some hosts read stale lists. No organisation may ever get more than
-// its burst and rate; a user would see a tenant push the others aside.
+// Guards against admitting more than an organisation's burst and rate, at the cost of other organisations, while messages are
+// lost, duplicated and late, processes pause, crash and restart, the network is partitioned and some hosts read stale lists.
 func TestInvariant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSchedule(t, testLimits)
-		s.world.Run(3 * time.Second)
+		s.sim.Run(3 * time.Second)
 		for range scheduleSteps {
 			s.step(t)
-			s.settlePlans()
-			if s.world.Checker.Excess > 0 {
-				t.Fatalf("%.2f tokens over, first at %s; %+v", s.world.Checker.Excess, s.world.Checker.When.Sub(Start), s.world.Counts)
+			s.lowerCheckedPlan()
+			if s.sim.Checker.Excess > 0 {
+				t.Fatalf("%.2f tokens above the limit, first at %s; %+v", s.sim.Checker.Excess, s.sim.Checker.FirstExcess.Sub(Start), s.sim.Counts)
 			}
 		}
-		if s.world.Counts.Admitted == 0 {
-			t.Fatalf("nothing admitted")
+		if s.sim.Counts.Admitted == 0 {
+			t.Fatalf("no request was admitted; expected at least one")
 		}
 	})
 }
--- a/internal/bench/rates/world.go
+++ b/internal/bench/rates/world.go
@@ -12,267 +12,269 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// Way is how the fleet divides a rate.
-type Way uint8
+// Division is a way in which the fleet divides a rate.
+type Division uint8
 
 // The ways that are compared.
 const (
-	// Lending is package rate.
-	Lending Way = iota
-	// Equal gives each host an equal, fixed part.
-	Equal
-	// Full gives each host the whole rate; it is unsafe.
-	Full
+	// Lending lends tokens, as package rate does.
+	Lending Division = iota
+	// EqualSplit gives each host an equal, fixed share.
+	EqualSplit
+	// FullRate gives each host the whole rate, which is unsafe.
+	FullRate
 )
 
-// Network is how messages between hosts fare.
+// Network describes delays and faults of messages between hosts.
 type Network struct {
-	// Least and Spread are the one-way delay in the same availability zone.
-	Least  time.Duration
-	Spread time.Duration
-	// Lost and Doubled are shares of messages, Late is the share that takes up to LateBy.
-	Lost    float64
-	Doubled float64
-	Late    float64
-	LateBy  time.Duration
+	// The one-way delay in one availability zone is uniformly distributed from MinDelay to MinDelay + DelaySpread.
+	MinDelay    time.Duration
+	DelaySpread time.Duration
+	// LossFraction, DuplicateFraction and LateFraction are fractions of all messages; a late message takes up to MaxLateness
+	// longer.
+	LossFraction      float64
+	DuplicateFraction float64
+	LateFraction      float64
+	MaxLateness       time.Duration
 }
 
-// World is a fleet in virtual time.
-type World struct {
+// Simulation is a fleet in virtual time.
+type Simulation struct {
 	Now     time.Time
 	Network Network
-	// Overload is the share of requests with a token that are turned away before they run.
-	Overload float64
-	// OverloadBy is how long such a request waits at most before it is told so.
-	OverloadBy time.Duration
-	Checker    *Checker
-	Counts     Counts
-
-	ideal   *Checker
-	tallies map[string]*Tally
-	wire    bytes.Buffer
-	way     Way
-	limits  rate.Limits
-	opts    []rate.MembershipOption
-	rng     *rand.Rand
-	events  events
-	serial  uint64
-	plans   []lists.Organisation
+	// DeclineFraction is the fraction of requests that are declined although they had a token.
+	DeclineFraction float64
+	// MaxDeclineDelay is the longest time until such a request returns its token.
+	MaxDeclineDelay time.Duration
+	Checker         *Checker
+	Counts          Counts
+
+	globalBuckets      *Checker
+	organisationCounts map[string]*OrganisationCount
+	encodeBuffer       bytes.Buffer
+	division           Division
+	limits             rate.Limits
+	opts               []rate.MembershipOption
+	rng                *rand.Rand
+	events             events
+	serial             uint64
+	plans              []lists.Organisation
 	// planVersion counts the changes of the plans.
 	planVersion int
 
-	hosts  []*Host
-	byName map[rate.Member]*Host
-	lists  [][]rate.Member
-	cut    func(a, b *Host) bool
+	hosts       []*Host
+	byName      map[rate.Member]*Host
+	hostLists   [][]rate.Member
+	partitioned func(a, b *Host) bool
 }
 
-// Counts is what a run has seen.
+// Counts holds the counts of a run.
 type Counts struct {
 	Arrivals int `json:"arrivals"`
 	Admitted int `json:"admitted"`
 	Refused  int `json:"refused"`
-	// Inside is how many one global bucket would have admitted.
-	Inside   int `json:"inside"`
-	Asked    int `json:"asked"`
-	Messages int `json:"messages"`
-	// TurnedAway had a token and did not run; of these the tokens of GivenBack came back.
-	TurnedAway int `json:"turnedAway"`
-	GivenBack  int `json:"givenBack"`
-	// Bytes are those of lease messages between hosts, frames counted.
+	// Inside is the number of requests that one global bucket would have admitted.
+	Inside      int `json:"inside"`
+	LeaseNeeded int `json:"asked"`
+	Messages    int `json:"messages"`
+	// Declined counts requests that had a token and did not run, and TokensReturned those of them whose tokens were returned.
+	Declined       int `json:"turnedAway"`
+	TokensReturned int `json:"givenBack"`
+	// Bytes is the size of lease messages between hosts, with their frames.
 	Bytes int `json:"bytes"`
 }
 
-// Wrongful returns how many requests were refused that one global bucket would have admitted.
+// Wrongful returns the number of requests that were refused although one global bucket would have admitted them.
 func (c Counts) Wrongful() int { return max(c.Inside-c.Admitted, 0) }
 
-// Host is one host of the world: a process at an address.
+// Host is one simulated host: a process at an address.
 type Host struct {
 	Number int
 	Zone   int
 	Member rate.Member
 
-	home        *rate.Home
-	borrower    *rate.Borrower
-	equal       *equal
-	incarnation uint64
-	list        int
-	staleAt     int
-	stale       bool
-	plans       int
-	alive       bool
-	paused      bool
-	deferred    []func()
-	seeks       map[string]*seek
+	home         *rate.Home
+	borrower     *rate.Borrower
+	equalSplit   *equalSplit
+	incarnation  uint64
+	listVersion  int
+	staleVersion int
+	stale        bool
+	planVersion  int
+	alive        bool
+	paused       bool
+	deferred     []func()
+	searches     map[string]*tokenSearch
 }
 
-// seek is a chain of urgent questions with the requests that wait for it.
-type seek struct {
-	// waiting are told whether they were admitted, first come, first served.
-	waiting []func(admitted bool)
-	homes   []rate.Member
-	need    rate.Need
-	wait    time.Duration
-	ends    time.Time
-	// settled is set once a home could tell when it has a token.
+// tokenSearch is a sequence of urgent lease requests with the requests that wait for their tokens.
+type tokenSearch struct {
+	// waiting has the callbacks of the waiting requests in order of arrival.
+	waiting      []func(admitted bool)
+	homes        []rate.Member
+	need         rate.Need
+	expectedWait time.Duration
+	deadline     time.Time
+	// settled is set once a home could state when it has a token.
 	settled bool
 }
 
-// next takes the first of the waiting requests out.
-func (s *seek) next() func(admitted bool) {
+// popWaiting removes and returns the first waiting callback.
+func (s *tokenSearch) popWaiting() func(admitted bool) {
 	first := s.waiting[0]
 	s.waiting = s.waiting[1:]
 	return first
 }
 
-// Start is when virtual time begins.
+// Start is the time at which each simulation begins.
 var Start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// NewWorld returns a world without hosts.
-func NewWorld(seed uint64, way Way, l rate.Limits, plans []lists.Organisation, opts ...rate.MembershipOption) *World {
-	w := &World{
-		tallies: map[string]*Tally{},
-		Now:     Start, way: way, limits: l, opts: opts, plans: plans, byName: map[rate.Member]*Host{},
-		rng: rand.New(rand.NewPCG(seed, seed)), Checker: NewChecker(plans, Start), ideal: NewChecker(plans, Start),
-		cut: func(*Host, *Host) bool { return false },
+// NewSimulation returns a simulation without hosts.
+func NewSimulation(seed uint64, division Division, limits rate.Limits, plans []lists.Organisation, opts ...rate.MembershipOption) *Simulation {
+	sim := &Simulation{
+		organisationCounts: map[string]*OrganisationCount{},
+		Now:                Start, division: division, limits: limits, opts: opts, plans: plans, byName: map[rate.Member]*Host{},
+		rng: rand.New(rand.NewPCG(seed, seed)), Checker: NewChecker(plans, Start), globalBuckets: NewChecker(plans, Start),
+		partitioned: func(*Host, *Host) bool { return false },
 	}
-	w.Network = Network{Least: 200 * time.Microsecond, Spread: 300 * time.Microsecond}
-	return w
+	sim.Network = Network{MinDelay: 200 * time.Microsecond, DelaySpread: 300 * time.Microsecond}
+	return sim
 }
 
-// zones is the number of availability zones that hosts are spread over.
+// zones is the number of availability zones.
 const zones = 3
 
-// AddHost starts a host; it is a home only once it is listed.
-func (w *World) AddHost() *Host {
-	n := len(w.hosts) + 1
-	address := netip.AddrFrom4([4]byte{127, byte(n >> 16), byte(n >> 8), byte(n)})
-	h := &Host{Number: n, Zone: n % zones, Member: rate.Member{Host: fmt.Sprintf("host-%d", n), Peer: netip.AddrPortFrom(address, 7001)}}
-	w.hosts = append(w.hosts, h)
-	w.byName[h.Member] = h
-	w.boot(h)
+// AddHost starts a host; it becomes a home only once it is in the host list.
+func (sim *Simulation) AddHost() *Host {
+	number := len(sim.hosts) + 1
+	address := netip.AddrFrom4([4]byte{127, byte(number >> 16), byte(number >> 8), byte(number)})
+	h := &Host{Number: number, Zone: number % zones, Member: rate.Member{Host: fmt.Sprintf("host-%d", number), Peer: netip.AddrPortFrom(address, 7001)}}
+	sim.hosts = append(sim.hosts, h)
+	sim.byName[h.Member] = h
+	sim.startProcess(h)
 	return h
 }
 
 // Hosts returns all hosts ever started.
-func (w *World) Hosts() []*Host { return w.hosts }
+func (sim *Simulation) Hosts() []*Host { return sim.hosts }
 
-func (w *World) boot(h *Host) {
-	w.serial++
-	h.incarnation = w.serial
-	h.alive, h.paused, h.list = true, false, 0
+func (sim *Simulation) startProcess(h *Host) {
+	sim.serial++
+	h.incarnation = sim.serial
+	h.alive, h.paused, h.listVersion = true, false, 0
 	h.deferred = nil
-	h.seeks = map[string]*seek{}
-	h.home = rate.NewHome(h.Member, h.incarnation, w.limits, w.Now, w.opts...)
-	h.borrower = rate.NewBorrower(h.Member.Host+"@"+h.Member.Peer.String(), h.incarnation, w.limits)
+	h.searches = map[string]*tokenSearch{}
+	h.home = rate.NewHome(h.Member, h.incarnation, sim.limits, sim.Now, sim.opts...)
+	h.borrower = rate.NewBorrower(h.Member.Host+"@"+h.Member.Peer.String(), h.incarnation, sim.limits)
 	h.borrower.SetOwn(h.Member)
-	h.equal = newEqual(map[string]lists.Organisation{})
-	w.givePlans(h)
+	h.equalSplit = newEqualSplit(map[string]lists.Organisation{})
+	sim.applyPlans(h)
 	if h.stale {
-		w.giveList(h, h.staleAt)
+		sim.applyList(h, h.staleVersion)
 	} else {
-		w.giveList(h, len(w.lists))
+		sim.applyList(h, len(sim.hostLists))
 	}
-	w.tick(h, h.incarnation)
+	sim.startTimers(h, h.incarnation)
 }
 
-func (w *World) givePlans(h *Host) {
-	h.plans = w.planVersion
-	h.home.SetPlans(w.plans, w.Now)
-	h.borrower.SetPlans(w.plans)
-	for _, o := range w.plans {
-		h.equal.plans[o.Organisation] = o
+func (sim *Simulation) applyPlans(h *Host) {
+	h.planVersion = sim.planVersion
+	h.home.SetPlans(sim.plans, sim.Now)
+	h.borrower.SetPlans(sim.plans)
+	for _, o := range sim.plans {
+		h.equalSplit.plans[o.Organisation] = o
 	}
 }
 
-func (w *World) giveList(h *Host, version int) {
-	if version <= h.list {
+func (sim *Simulation) applyList(h *Host, version int) {
+	if version <= h.listVersion {
 		return
 	}
-	h.list = version
-	members := w.lists[version-1]
-	h.home.SetList(uint64(version), members, w.Now)
+	h.listVersion = version
+	members := sim.hostLists[version-1]
+	h.home.SetList(uint64(version), members, sim.Now)
 	h.borrower.SetList(uint64(version), members)
-	h.equal.setHosts(len(members))
-	if w.way == Full {
-		h.equal.setHosts(1)
+	h.equalSplit.setHosts(len(members))
+	if sim.division == FullRate {
+		h.equalSplit.setHosts(1)
 	}
 }
 
-// Publish makes the given hosts the next version of the list; each host that is not stale learns it within a second.
-func (w *World) Publish(hosts []*Host) {
+// Publish publishes the given hosts as the next version of the host list; each host that is not stale applies it within a
+// second.
+func (sim *Simulation) Publish(hosts []*Host) {
 	members := make([]rate.Member, 0, len(hosts))
 	for _, h := range hosts {
 		members = append(members, h.Member)
 	}
-	w.lists = append(w.lists, members)
-	for _, h := range w.hosts {
-		w.tell(h)
+	sim.hostLists = append(sim.hostLists, members)
+	for _, h := range sim.hosts {
+		sim.announceList(h)
 	}
 }
 
-func (w *World) tell(h *Host) {
-	version := len(w.lists)
-	w.process(h, h.incarnation, w.rngTime(time.Second), func() {
+func (sim *Simulation) announceList(h *Host) {
+	version := len(sim.hostLists)
+	sim.runOn(h, h.incarnation, sim.randomDuration(time.Second), func() {
 		if !h.stale {
-			w.giveList(h, version)
+			sim.applyList(h, version)
 		}
 	})
 }
 
-// SetStale makes a host read a replica that gives nothing new, or lets it catch up.
-func (w *World) SetStale(h *Host, stale bool) {
-	h.stale, h.staleAt = stale, h.list
-	if !stale && len(w.lists) > 0 {
-		w.tell(h)
+// SetStale makes a host keep its present host list, or lets it catch up.
+func (sim *Simulation) SetStale(h *Host, stale bool) {
+	h.stale, h.staleVersion = stale, h.listVersion
+	if !stale && len(sim.hostLists) > 0 {
+		sim.announceList(h)
 	}
 }
 
-// SetPlans changes the plans; each live host learns it within a second.
-func (w *World) SetPlans(plans []lists.Organisation) {
-	w.plans = plans
-	w.planVersion++
-	for _, h := range w.hosts {
-		w.process(h, h.incarnation, w.rngTime(time.Second), func() { w.givePlans(h) })
+// SetPlans changes the plans; each live host applies them within a second.
+func (sim *Simulation) SetPlans(plans []lists.Organisation) {
+	sim.plans = plans
+	sim.planVersion++
+	for _, h := range sim.hosts {
+		sim.runOn(h, h.incarnation, sim.randomDuration(time.Second), func() { sim.applyPlans(h) })
 	}
 }
 
-// PlansKnown reports whether every process that runs acts on the newest plans.
-func (w *World) PlansKnown() bool {
-	for _, h := range w.hosts {
-		if h.alive && h.plans != w.planVersion {
+// PlansApplied reports whether every running process has applied the latest plans.
+func (sim *Simulation) PlansApplied() bool {
+	for _, h := range sim.hosts {
+		if h.alive && h.planVersion != sim.planVersion {
 			return false
 		}
 	}
 	return true
 }
 
-// Crash ends a host's process without a word.
-func (w *World) Crash(h *Host) { h.alive = false }
+// Crash ends a host's process without notice.
+func (sim *Simulation) Crash(h *Host) { h.alive = false }
 
-// Leave ends a host's process after it gave up its shards and told others.
-func (w *World) Leave(h *Host) {
-	for _, m := range h.home.Cease(w.Now) {
-		w.confirm(h, m)
+// Leave ends a host's process after it has handed over its shards and notified the other members.
+func (sim *Simulation) Leave(h *Host) {
+	for _, m := range h.home.Cease(sim.Now) {
+		sim.requestStatement(h, m)
 	}
-	w.After(time.Second, func() { h.alive = false })
+	sim.After(time.Second, func() { h.alive = false })
 }
 
-// Restart starts a process on the same address, after the one before it has ended.
-func (w *World) Restart(h *Host) {
+// Restart starts a new process at the host's address, after ending the one that runs.
+func (sim *Simulation) Restart(h *Host) {
 	h.alive = false
-	w.boot(h)
+	sim.startProcess(h)
 }
 
-// Pause stops a process; Resume lets it wake up late.
-func (w *World) Pause(h *Host) { h.paused = true }
+// Pause stops a process until Resume.
+func (sim *Simulation) Pause(h *Host) { h.paused = true }
 
-// Resume lets a paused process go on with all that has come meanwhile.
-func (w *World) Resume(h *Host) {
+// Resume continues a paused process, which then handles all events deferred meanwhile.
+func (sim *Simulation) Resume(h *Host) {
 	h.paused = false
-	todo := h.deferred
+	callbacks := h.deferred
 	h.deferred = nil
-	for _, f := range todo {
+	for _, f := range callbacks {
 		f()
 	}
 }
@@ -280,22 +282,24 @@
 // Alive reports whether the host's process runs and is not paused.
 func (h *Host) Alive() bool { return h.alive && !h.paused }
 
-// Cut sets which pairs of hosts don't reach each other.
-func (w *World) Cut(cut func(a, b *Host) bool) { w.cut = cut }
+// Partition sets which pairs of hosts can't reach each other.
+func (sim *Simulation) Partition(partitioned func(a, b *Host) bool) { sim.partitioned = partitioned }
 
-// Heal ends all cuts.
-func (w *World) Heal() { w.cut = func(*Host, *Host) bool { return false } }
+// Heal ends all partitions.
+func (sim *Simulation) Heal() { sim.partitioned = func(*Host, *Host) bool { return false } }
 
-func (w *World) rngTime(d time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(d))) }
+func (sim *Simulation) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(sim.rng.Int64N(int64(d)))
+}
 
-// After runs f after a time.
-func (w *World) After(d time.Duration, f func()) {
-	w.serial++
-	heap.Push(&w.events, event{at: w.Now.Add(d), serial: w.serial, run: f})
+// After runs f after the given time.
+func (sim *Simulation) After(d time.Duration, f func()) {
+	sim.serial++
+	heap.Push(&sim.events, event{at: sim.Now.Add(d), serial: sim.serial, run: f})
 }
 
-// process runs f on a host's process after a time, late if it is paused, never if it has ended.
-func (w *World) process(h *Host, incarnation uint64, d time.Duration, f func()) {
+// runOn runs f on a host's process after the given time: later if the process is paused, never if it has ended.
+func (sim *Simulation) runOn(h *Host, incarnation uint64, d time.Duration, f func()) {
 	var run func()
 	run = func() {
 		switch {
@@ -306,18 +310,18 @@
 			f()
 		}
 	}
-	w.After(d, run)
+	sim.After(d, run)
 }
 
-// Run lets the time pass.
-func (w *World) Run(d time.Duration) {
-	end := w.Now.Add(d)
-	for len(w.events) > 0 && !w.events[0].at.After(end) {
-		e := heap.Pop(&w.events).(event)
-		w.Now = e.at
+// Run advances the virtual time by d and runs all events that are due.
+func (sim *Simulation) Run(d time.Duration) {
+	end := sim.Now.Add(d)
+	for len(sim.events) > 0 && !sim.events[0].at.After(end) {
+		e := heap.Pop(&sim.events).(event)
+		sim.Now = e.at
 		e.run()
 	}
-	w.Now = end
+	sim.Now = end
 }
 
 type event struct {
@@ -337,10 +341,10 @@
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push is heap.Interface's.
+// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop is heap.Interface's.
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
--- a/internal/bench/rates/world_test.go
+++ b/internal/bench/rates/world_test.go
@@ -18,139 +18,138 @@
 
 var testLimits = rate.Limits{Fence: 20 * time.Second, Loan: 500 * time.Millisecond, Shards: 4}
 
-func steady(w *World, h *Host, organisation string, perSecond float64) {
-	gap := time.Duration(float64(time.Second) / perSecond)
+func startCallers(sim *Simulation, h *Host, organisation string, perSecond float64) {
+	interval := time.Duration(float64(time.Second) / perSecond)
 	var next func()
 	next = func() {
-		w.Arrive(h, organisation)
-		w.After(w.rngTime(2*gap)+1, next)
+		sim.Arrive(h, organisation)
+		sim.After(sim.randomDuration(2*interval)+1, next)
 	}
-	w.After(w.rngTime(gap)+1, next)
+	sim.After(sim.randomDuration(interval)+1, next)
 }
 
-func newTestWorld(seed uint64, hosts int, opts ...rate.MembershipOption) *World {
-	return populate(NewWorld(seed, Lending, testLimits, testPlans, opts...), hosts)
+func newTestSimulation(seed uint64, hosts int, opts ...rate.MembershipOption) *Simulation {
+	return addHosts(NewSimulation(seed, Lending, testLimits, testPlans, opts...), hosts)
 }
 
-// populate gives a world its hosts and the list that names them.
-func populate(w *World, hosts int) *World {
+// addHosts adds hosts to a simulation and publishes the host list.
+func addHosts(sim *Simulation, hosts int) *Simulation {
 	for range hosts {
-		w.AddHost()
+		sim.AddHost()
 	}
-	w.Publish(w.Hosts())
-	return w
+	sim.Publish(sim.Hosts())
+	return sim
 }
 
-// cutOffHome cuts one home off with callers of its own, and the list drops it.
-func cutOffHome(w *World) {
-	w.Run(5 * time.Second)
-	for _, e := range w.hosts {
-		steady(w, e, "large", 100)
+// partitionHome partitions one home that still has callers, with a stale host list, and removes it from the list.
+func partitionHome(sim *Simulation) {
+	sim.Run(5 * time.Second)
+	for _, e := range sim.hosts {
+		startCallers(sim, e, "large", 100)
 	}
-	w.Run(2 * time.Second)
-	h := busiest(w)
-	w.Cut(func(a, b *Host) bool { return (a == h) != (b == h) })
-	w.SetStale(h, true)
-	var rest []*Host
-	for _, e := range w.hosts {
+	sim.Run(2 * time.Second)
+	h := busiest(sim)
+	sim.Partition(func(a, b *Host) bool { return (a == h) != (b == h) })
+	sim.SetStale(h, true)
+	var remaining []*Host
+	for _, e := range sim.hosts {
 		if e != h {
-			rest = append(rest, e)
+			remaining = append(remaining, e)
 		}
 	}
-	w.Publish(rest)
-	w.Run(3 * testLimits.Fence)
+	sim.Publish(remaining)
+	sim.Run(3 * testLimits.Fence)
 }
 
 // busiest returns the home of the most shards.
-func busiest(w *World) *Host {
-	best := w.hosts[0]
-	for _, h := range w.hosts {
-		if h.home.Status(w.Now).Shards > best.home.Status(w.Now).Shards {
+func busiest(sim *Simulation) *Host {
+	best := sim.hosts[0]
+	for _, h := range sim.hosts {
+		if h.home.Status(sim.Now).Shards > best.home.Status(sim.Now).Shards {
 			best = h
 		}
 	}
 	return best
 }
 
-// A home is cut off, reads a stale list and keeps its callers, while the
-// platform drops it and others take its shards over.
-func TestCheckerCatches(t *testing.T) {
-	one := rate.WithQuorum(func(int) int { return 1 })
-	short := testLimits
-	short.Fence = testLimits.Fence / 10
+// Guards against a checker that misses violations: a partitioned home reads a stale list and keeps its callers, while the
+// list drops it and others take over its shards.
+func TestCheckerDetectsUnsafeVariants(t *testing.T) {
+	quorumOfOne := rate.WithQuorum(func(int) int { return 1 })
+	shortFence := testLimits
+	shortFence.Fence = testLimits.Fence / 10
 	cases := []struct {
-		name   string
-		run    func() *World
-		unsafe bool
+		name     string
+		run      func() *Simulation
+		violates bool
 	}{
-		{"the way in use", func() *World {
-			w := newTestWorld(1, 5)
-			cutOffHome(w)
-			return w
+		{"lending of tokens", func() *Simulation {
+			sim := newTestSimulation(1, 5)
+			partitionHome(sim)
+			return sim
 		}, false},
-		{"full rate on each host", func() *World {
-			w := populate(NewWorld(1, Full, testLimits, testPlans), 5)
-			cutOffHome(w)
-			return w
+		{"full rate on each host", func() *Simulation {
+			sim := addHosts(NewSimulation(1, FullRate, testLimits, testPlans), 5)
+			partitionHome(sim)
+			return sim
 		}, true},
-		{"equal split over lists of different length", func() *World {
-			w := populate(NewWorld(1, Equal, testLimits, testPlans), 5)
-			cutOffHome(w)
-			return w
+		{"equal split with host lists of different lengths", func() *Simulation {
+			sim := addHosts(NewSimulation(1, EqualSplit, testLimits, testPlans), 5)
+			partitionHome(sim)
+			return sim
 		}, true},
-		{"confirmation by the platform alone, with a stale replica", func() *World {
-			w := newTestWorld(1, 5, one)
-			cutOffHome(w)
-			return w
+		{"membership confirmed by the configuration store alone, with a stale replica", func() *Simulation {
+			sim := newTestSimulation(1, 5, quorumOfOne)
+			partitionHome(sim)
+			return sim
 		}, true},
-		{"fence shorter than the cut-off home's tenure", func() *World {
-			w := newTestWorld(1, 5)
-			w.Run(5 * time.Second)
-			steady(w, w.hosts[0], "large", 100)
-			w.Run(time.Second)
-			home := busiest(w)
-			w.limits = short
-			for _, h := range w.hosts {
+		{"fence shorter than the time for which the partitioned home keeps its shards", func() *Simulation {
+			sim := newTestSimulation(1, 5)
+			sim.Run(5 * time.Second)
+			startCallers(sim, sim.hosts[0], "large", 100)
+			sim.Run(time.Second)
+			home := busiest(sim)
+			sim.limits = shortFence
+			for _, h := range sim.hosts {
 				if h != home {
-					w.Restart(h)
+					sim.Restart(h)
 				}
 			}
-			cutOffHome(w)
-			return w
+			partitionHome(sim)
+			return sim
 		}, true},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
-			w := c.run()
-			t.Logf("%s: %.1f tokens over; %+v", c.name, w.Checker.Excess, w.Counts)
-			So(w.Counts.Admitted, ShouldBeGreaterThan, 1000)
-			So(w.Checker.Excess > 0, ShouldEqual, c.unsafe)
+			sim := c.run()
+			t.Logf("%s: %.1f tokens above the limit; %+v", c.name, sim.Checker.Excess, sim.Counts)
+			So(sim.Counts.Admitted, ShouldBeGreaterThan, 1000)
+			So(sim.Checker.Excess > 0, ShouldEqual, c.violates)
 		})
 	}
 }
 
-// Callers of one organisation come in at one host only, at four fifths of its
-// rate. With an equal split four in five of them would be refused; a user notices nothing here.
-func TestSkew(t *testing.T) {
-	Convey("nearly all of the rate is had at one host", t, func() {
-		w := newTestWorld(1, 5)
-		w.Run(5 * time.Second)
-		steady(w, w.hosts[0], "large", 80)
-		steady(w, w.hosts[1], "middle", 16)
-		steady(w, w.hosts[2], "tiny", 0.3)
-		w.Run(5 * time.Second)
-		w.Counts = Counts{}
-		w.Run(60 * time.Second)
-		t.Logf("%+v", w.Counts)
-		So(w.Checker.Excess, ShouldEqual, 0)
-		So(w.Counts.Wrongful(), ShouldBeLessThan, w.Counts.Arrivals/50)
+// Guards against dividing rates by host: callers of an organisation arrive at one host only, at four fifths of its rate, and
+// an equal split would refuse four in five of them.
+func TestSkewedArrivals(t *testing.T) {
+	Convey("one host gets nearly all of the rate", t, func() {
+		sim := newTestSimulation(1, 5)
+		sim.Run(5 * time.Second)
+		startCallers(sim, sim.hosts[0], "large", 80)
+		startCallers(sim, sim.hosts[1], "middle", 16)
+		startCallers(sim, sim.hosts[2], "tiny", 0.3)
+		sim.Run(5 * time.Second)
+		sim.Counts = Counts{}
+		sim.Run(60 * time.Second)
+		t.Logf("%+v", sim.Counts)
+		So(sim.Checker.Excess, ShouldEqual, 0)
+		So(sim.Counts.Wrongful(), ShouldBeLessThan, sim.Counts.Arrivals/50)
 	})
 }
 
-// Callers of small organisations come in at every one of many hosts, now and
-// then. Were a token kept ready at each host, or were only whole tokens
-// lent, a small organisation would be refused half of what its plan allows while the
-// fleet's mean looks fine.
+// Guards against refusing half of what a small organisation's plan allows while the fleet's mean looks fine. Its requests
+// arrive now and then at each of many hosts; the refusals come about if each host keeps a token in stock or only whole
+// tokens are lent.
 func TestSmallOrganisations(t *testing.T) {
 	plans := []lists.Organisation{
 		{Organisation: "small", Plan: "p", Rate: 4, Burst: 8},
@@ -165,74 +164,72 @@
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
-			w := populate(NewWorld(1, Lending, rate.DefaultLimits(), plans), c.hosts)
-			w.Run(10 * time.Second)
+			sim := addHosts(NewSimulation(1, Lending, rate.DefaultLimits(), plans), c.hosts)
+			sim.Run(10 * time.Second)
 			for i, o := range plans {
-				w.offer(o, i, Uniform, c.hosts)
+				sim.startArrivals(o, i, Uniform, c.hosts)
 			}
-			w.Run(20 * time.Second)
-			w.Reset()
-			w.Run(3 * time.Minute)
-			for _, tally := range w.Tallies() {
-				t.Logf("%+v", tally)
-				So(tally.Percent(), ShouldBeLessThan, 8)
+			sim.Run(20 * time.Second)
+			sim.Reset()
+			sim.Run(3 * time.Minute)
+			for _, counts := range sim.OrganisationCounts() {
+				t.Logf("%+v", counts)
+				So(counts.Percent(), ShouldBeLessThan, 8)
 			}
-			So(w.Checker.Excess, ShouldEqual, 0)
+			So(sim.Checker.Excess, ShouldEqual, 0)
 		})
 	}
 }
 
-// The whole fleet starts at once, with empty buckets since nobody can tell what was
-// spent before. A caller of a small organisation should wait for the rate's own
-// time for a token, not for that of each of its shards.
+// Guards against a long wait after a cold start, where buckets begin empty because nobody knows what was spent before. A
+// caller of a small organisation should wait for a token at the organisation's rate, not at that of one of its shards.
 func TestColdStart(t *testing.T) {
 	plans := []lists.Organisation{{Organisation: "small", Plan: "p", Rate: 1, Burst: 8}}
-	Convey("the first token is there soon after the homes may lend", t, func() {
-		w := populate(NewWorld(1, Lending, rate.DefaultLimits(), plans), 15)
-		var ask func()
-		ask = func() {
-			w.Arrive(w.hosts[w.rng.IntN(len(w.hosts))], "small")
-			w.After(100*time.Millisecond, ask)
+	Convey("the first token is available soon after the homes may lend", t, func() {
+		sim := addHosts(NewSimulation(1, Lending, rate.DefaultLimits(), plans), 15)
+		var sendRequest func()
+		sendRequest = func() {
+			sim.Arrive(sim.hosts[sim.rng.IntN(len(sim.hosts))], "small")
+			sim.After(100*time.Millisecond, sendRequest)
 		}
-		w.After(0, ask)
-		for w.Counts.Admitted == 0 && w.Now.Sub(Start) < time.Minute {
-			w.Run(100 * time.Millisecond)
+		sim.After(0, sendRequest)
+		for sim.Counts.Admitted == 0 && sim.Now.Sub(Start) < time.Minute {
+			sim.Run(100 * time.Millisecond)
 		}
-		first := w.Now.Sub(Start)
-		w.Run(10 * time.Second)
-		t.Logf("first token after %s, then %d in 10 s", first, w.Counts.Admitted)
+		first := sim.Now.Sub(Start)
+		sim.Run(10 * time.Second)
+		t.Logf("first token after %s, then %d in 10 s", first, sim.Counts.Admitted)
 		So(first, ShouldBeLessThan, 3500*time.Millisecond)
-		So(w.Counts.Admitted, ShouldBeBetweenOrEqual, 8, 12)
-		So(w.Checker.Excess, ShouldEqual, 0)
+		So(sim.Counts.Admitted, ShouldBeBetweenOrEqual, 8, 12)
+		So(sim.Checker.Excess, ShouldEqual, 0)
 	})
 }
 
-// An overloaded service turns three in ten requests away after they had their token,
-// at the door or after a wait in a queue. Were all those tokens lost, a caller inside its rate
-// would pay for the service's trouble.
-func TestTurnedAway(t *testing.T) {
+// Guards against losing the tokens of requests that an overloaded service declines, at once or after a wait in a queue; callers
+// within their rate would then be refused.
+func TestDeclinedRequests(t *testing.T) {
 	cases := []struct {
-		name  string
-		by    time.Duration
-		least float64
+		name        string
+		maxDelay    time.Duration
+		minReturned float64
 	}{
-		{"at the door, all come back", time.Millisecond, 0.95},
-		{"after up to 400 ms in a queue, those that no question has told of", 400 * time.Millisecond, 0.15},
+		{"declined at once: nearly all tokens return", time.Millisecond, 0.95},
+		{"declined after up to 400 ms in a queue: tokens not yet reported as spent return", 400 * time.Millisecond, 0.15},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
-			w := populate(NewWorld(1, Lending, rate.DefaultLimits(), Organisations()), 15)
-			w.Overload, w.OverloadBy = 0.3, c.by
-			w.Run(10 * time.Second)
-			for i, o := range w.plans {
-				w.offer(o, i, Uniform, 15)
+			sim := addHosts(NewSimulation(1, Lending, rate.DefaultLimits(), Organisations()), 15)
+			sim.DeclineFraction, sim.MaxDeclineDelay = 0.3, c.maxDelay
+			sim.Run(10 * time.Second)
+			for i, o := range sim.plans {
+				sim.startArrivals(o, i, Uniform, 15)
 			}
-			w.Run(20 * time.Second)
-			w.Reset()
-			w.Run(time.Minute)
-			t.Logf("%+v", w.Counts)
-			So(float64(w.Counts.GivenBack)/float64(w.Counts.TurnedAway), ShouldBeGreaterThan, c.least)
-			So(w.Checker.Excess, ShouldEqual, 0)
+			sim.Run(20 * time.Second)
+			sim.Reset()
+			sim.Run(time.Minute)
+			t.Logf("%+v", sim.Counts)
+			So(float64(sim.Counts.TokensReturned)/float64(sim.Counts.Declined), ShouldBeGreaterThan, c.minReturned)
+			So(sim.Checker.Excess, ShouldEqual, 0)
 		})
 	}
 }
--- a/internal/load/chain/lent.go
+++ b/internal/load/chain/lent.go
@@ -13,7 +13,7 @@
 // of shards and a borrower, in a world whose time follows the run's.
 type lentRates struct {
 	fleet *fleet
-	world *rates.World
+	world *rates.Simulation
 	// ahead is how far the world's clock is ahead of the run's.
 	ahead time.Duration
 }
@@ -31,7 +31,7 @@
 		perSecond := f.buckets[i].rate
 		plans = append(plans, lists.Organisation{Organisation: name, Plan: "p", Rate: perSecond, Burst: int(math.Round(perSecond * burst))})
 	}
-	l := &lentRates{fleet: f, world: rates.NewWorld(seed, rates.Lending, rate.DefaultLimits(), plans)}
+	l := &lentRates{fleet: f, world: rates.NewSimulation(seed, rates.Lending, rate.DefaultLimits(), plans)}
 	for range f.all {
 		l.world.AddHost()
 	}
--- a/internal/load/changes/demand.go
+++ b/internal/load/changes/demand.go
@@ -38,7 +38,7 @@
 	Arrival string `json:"arrival"`
 	// Percent is the share of the requests inside one global bucket that were refused for the rate.
 	Percent       float64       `json:"wrongfulPercent"`
-	Organisations []rates.Tally `json:"organisations"`
+	Organisations []rates.OrganisationCount `json:"organisations"`
 	// Other counts answers that were neither whole nor refused for the rate, by their reason.
 	Other map[string]int `json:"other"`
 	Spent Spent          `json:"spent"`
@@ -51,7 +51,7 @@
 	mu     sync.Mutex
 	inside *rates.Checker
 	count  bool
-	seen   map[string]*rates.Tally
+	seen   map[string]*rates.OrganisationCount
 	other  map[string]int
 }
 
@@ -71,10 +71,10 @@
 	sleep(ctx, settle)
 	d := &demand{
 		plan: &p, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clientConns}},
-		inside: rates.NewChecker(rates.Organisations(), time.Now()), seen: map[string]*rates.Tally{}, other: map[string]int{},
+		inside: rates.NewChecker(rates.Organisations(), time.Now()), seen: map[string]*rates.OrganisationCount{}, other: map[string]int{},
 	}
 	for _, o := range rates.Organisations() {
-		d.seen[o.Organisation] = &rates.Tally{Organisation: o.Organisation, Refusals: map[string]int{}}
+		d.seen[o.Organisation] = &rates.OrganisationCount{Organisation: o.Organisation, Refusals: map[string]int{}}
 	}
 	run, stop := context.WithCancel(ctx)
 	var streams sync.WaitGroup
