--- a/internal/load/chain/caller.go
+++ b/internal/load/chain/caller.go
@@ -6,96 +6,96 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Callers retry hard: after a refusal or a timeout they come again within a
-// tenth of a second, whatever they were told, up to a number of times.
+// Callers retry aggressively: after a rejection or a timeout they retry within 100 ms, ignoring Retry-After unless told otherwise, up
+// to callerAttempts attempts in all.
 const (
-	callerTries   = 5
-	callerBackOff = 50 * time.Millisecond
+	callerAttempts = 5
+	callerBackoff  = 50 * time.Millisecond
 )
 
-// caller is one organisation's stream of requests.
+// caller sends the requests of one organisation.
 type caller struct {
-	fleet        *fleet
-	organisation int
-	rate         float64
-	tally        *tally
-	polite       bool
+	fleet            *fleet
+	organisation     int
+	rate             float64
+	tally            *tally
+	honourRetryAfter bool
 }
 
-// start sends requests at random times until the end.
+// start sends requests as a Poisson process until the given time.
 func (c *caller) start(until time.Time) {
 	f := c.fleet
-	gap := time.Duration(f.random.ExpFloat64() / c.rate * float64(time.Second))
-	f.clock.After(gap, func() {
+	interval := time.Duration(f.random.ExpFloat64() / c.rate * float64(time.Second))
+	f.clock.After(interval, func() {
 		if f.clock.Now.After(until) {
 			return
 		}
-		c.ask(c.operation(), f.clock.Now, callerTries)
+		c.send(c.pickOperation(), f.clock.Now, callerAttempts)
 		c.start(until)
 	})
 }
 
-func (c *caller) operation() *Operation {
-	pick := c.fleet.random.Float64()
+func (c *caller) pickOperation() *Operation {
+	remaining := c.fleet.random.Float64()
 	operations := c.fleet.deployment.Operations
 	for i := range operations {
-		if pick -= operations[i].Share; pick < 0 {
+		if remaining -= operations[i].Share; remaining < 0 {
 			return &operations[i]
 		}
 	}
 	return &operations[len(operations)-1]
 }
 
-// ask sends one request and repeats it until it is whole or the tries are used up.
-func (c *caller) ask(o *Operation, begun time.Time, tries int) {
+// send sends one request and retries it until it succeeds or no attempts are left.
+func (c *caller) send(o *Operation, firstSent time.Time, attemptsLeft int) {
 	f := c.fleet
-	if tries == callerTries {
-		c.tally.sent(c.organisation, o.Priority, begun)
+	if attemptsLeft == callerAttempts {
+		c.tally.countSent(c.organisation, o.Priority, firstSent)
 	}
 	r := request{operation: o, organisation: c.organisation, deadline: f.clock.Now.Add(o.Timeout), runs: new(int)}
-	over := false
-	end := func(ok bool, back time.Duration) {
-		if over {
+	finished := false
+	finish := func(ok bool, retryAfter time.Duration) {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		if ok {
-			c.tally.whole(c.organisation, o.Priority, begun, f.clock.Now)
+			c.tally.countSucceeded(c.organisation, o.Priority, firstSent, f.clock.Now)
 			return
 		}
-		if tries > 1 {
-			f.clock.After(c.wait(back), func() { c.ask(o, begun, tries-1) })
+		if attemptsLeft > 1 {
+			f.clock.After(c.retryDelay(retryAfter), func() { c.send(o, firstSent, attemptsLeft-1) })
 		}
 	}
-	f.clock.After(o.Timeout, func() { end(false, 0) })
-	f.send(r, end)
+	f.clock.After(o.Timeout, func() { finish(false, 0) })
+	f.send(r, finish)
 }
 
-func (c *caller) wait(back time.Duration) time.Duration {
-	if c.polite && back > callerBackOff {
-		return back
+func (c *caller) retryDelay(retryAfter time.Duration) time.Duration {
+	if c.honourRetryAfter && retryAfter > callerBackoff {
+		return retryAfter
 	}
-	return callerBackOff + time.Duration(c.fleet.random.Int64N(int64(callerBackOff)))
+	return callerBackoff + time.Duration(c.fleet.random.Int64N(int64(callerBackoff)))
 }
 
-// tally counts requests when they are first sent, and whole answers when they come.
+// tally counts requests when they are first sent and successful responses when they arrive.
 type tally struct {
-	begun         time.Time
-	organisations []counts
-	interactive   []counts
-	latencies     []time.Duration
-	perSlice      []int
-	from, to      time.Time
+	start             time.Time
+	organisations     []counts
+	interactive       []counts
+	latencies         []time.Duration
+	successesPerSlice []int
+	from, to          time.Time
 }
 
-type counts struct{ sent, whole int }
+type counts struct{ sent, succeeded int }
 
-const slice = 50 * time.Millisecond
+const sliceLength = 50 * time.Millisecond
 
-func (t *tally) in(at time.Time) bool { return !at.Before(t.from) && at.Before(t.to) }
+func (t *tally) measured(at time.Time) bool { return !at.Before(t.from) && at.Before(t.to) }
 
-func (t *tally) sent(organisation int, p call.Priority, at time.Time) {
-	if t.in(at) {
+func (t *tally) countSent(organisation int, p call.Priority, at time.Time) {
+	if t.measured(at) {
 		t.organisations[organisation].sent++
 		if p == call.Interactive {
 			t.interactive[organisation].sent++
@@ -103,26 +103,26 @@
 	}
 }
 
-func (t *tally) whole(organisation int, p call.Priority, sent, now time.Time) {
-	if t.in(now) {
-		t.organisations[organisation].whole++
+func (t *tally) countSucceeded(organisation int, p call.Priority, sent, now time.Time) {
+	if t.measured(now) {
+		t.organisations[organisation].succeeded++
 		t.latencies = append(t.latencies, now.Sub(sent))
 		if p == call.Interactive {
-			t.interactive[organisation].whole++
+			t.interactive[organisation].succeeded++
 		}
 	}
-	at := int(now.Sub(t.begun) / slice)
-	for len(t.perSlice) <= at {
-		t.perSlice = append(t.perSlice, 0)
+	index := int(now.Sub(t.start) / sliceLength)
+	for len(t.successesPerSlice) <= index {
+		t.successesPerSlice = append(t.successesPerSlice, 0)
 	}
-	t.perSlice[at]++
+	t.successesPerSlice[index]++
 }
 
-// rate returns the whole answers a second between two times since the start.
+// rate returns the successful responses per second between two times since the start.
 func (t *tally) rate(from, to time.Duration) float64 {
 	sum := 0
-	for i := int(from / slice); i < int(to/slice) && i < len(t.perSlice); i++ {
-		sum += t.perSlice[i]
+	for i := int(from / sliceLength); i < int(to/sliceLength) && i < len(t.successesPerSlice); i++ {
+		sum += t.successesPerSlice[i]
 	}
 	return float64(sum) / (to - from).Seconds()
 }
--- a/internal/load/chain/chain_test.go
+++ b/internal/load/chain/chain_test.go
@@ -10,7 +10,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/placing"
 )
 
-// runAll runs the experiments side by side and keeps their order.
+// runAll runs the experiments concurrently and returns their results in order.
 func runAll(all []Experiment) []Result {
 	results := make([]Result, len(all))
 	var running sync.WaitGroup
@@ -21,15 +21,14 @@
 	return results
 }
 
-// Demand surges to a multiple of what the services can do, or the deepest one
-// slows down, and callers repeat what failed within a tenth of a second. A fleet
-// that takes it all in works for callers who have gone, and still does so when
-// the cause has passed: users see an outage that outlasts its reason.
+// Guards against an overload that outlasts its cause. Demand exceeds capacity, or the last service slows down, and callers
+// retry failed requests within 100 ms; a fleet that admits everything works for callers that have given up, also after the
+// cause has ended.
 func TestOverloadAndRecovery(t *testing.T) {
 	cases := []struct {
 		cause Cause
 		times float64
-		// goodput, worst and interactive are the least that must be reached.
+		// goodput, worst and interactive are lower bounds.
 		goodput, worst, interactive float64
 	}{
 		{Surge, 2, 0.95, 0.95, 0.95},
@@ -38,7 +37,7 @@
 		// The largest organisation sends all of the excess.
 		{Skew, 2, 0.95, 0.5, 0.95},
 		{Skew, 5, 0.95, 0.4, 0.95},
-		// The deepest service can do 1/times of what it could, which was 1.25 times load 1.
+		// The last service has 1/times of its capacity, which was 1.25 times load 1.
 		{Slow, 2, 0.95 * 1.25 / 2, 0.45, 0.9},
 		{Slow, 5, 0.9 * 1.25 / 5, 0.15, 0.35},
 		{OneSlow, 5, 0.9, 0.95, 0.95},
@@ -52,7 +51,7 @@
 	results := runAll(all)
 	for i, r := range results {
 		c := cases[i/2]
-		Convey(fmt.Sprintf("%s, %s %gx: goodput holds, and is back within 2 s", r.Deployment, r.Cause, r.Times), t, func() {
+		Convey(fmt.Sprintf("%s, %s %gx: goodput stays above the bounds, and recovers within 2 s", r.Deployment, r.Cause, r.Times), t, func() {
 			So(r.Goodput, ShouldBeGreaterThanOrEqualTo, c.goodput)
 			So(r.WorstOrganisation, ShouldBeGreaterThanOrEqualTo, c.worst)
 			So(r.WorstInteractive, ShouldBeGreaterThanOrEqualTo, c.interactive)
@@ -61,8 +60,8 @@
 	}
 }
 
-func TestAgainstNaive(t *testing.T) {
-	Convey("The naive fleet does not come back by itself; ours does, with fewer runs for each whole answer", t, func() {
+func TestComparedWithNaive(t *testing.T) {
+	Convey("The naive fleet does not recover; the daemon's policy does, with fewer runs for each successful response", t, func() {
 		e := Experiment{Deployment: Rejestr(), Cause: Slow, Times: 5, Seed: 7}
 		naive, ours := e, e
 		naive.Policy, ours.Policy = Naive(), Ours()
@@ -78,10 +77,9 @@
 	})
 }
 
-// One organisation sends five times its rate through every host, and the others
-// keep to theirs. If their tokens or their slots went to it, dealers within
-// their rate would be refused for a stranger's surge.
-func TestRates(t *testing.T) {
+// Guards against one organisation's surge taking the tokens or slots of others: it sends five times its rate through every
+// host, and the others stay within their rates.
+func TestRatesProtectOrganisations(t *testing.T) {
 	var all []Experiment
 	for _, lent := range []bool{false, true} {
 		p := Ours()
@@ -91,7 +89,7 @@
 		}
 	}
 	for i, r := range runAll(all) {
-		Convey(fmt.Sprintf("%s, rates lent %v: it costs the others nothing that is theirs", r.Deployment, all[i].Policy.Lent), t, func() {
+		Convey(fmt.Sprintf("%s, rates lent %v: the other organisations get their rates", r.Deployment, all[i].Policy.Lent), t, func() {
 			So(r.WorstOrganisation, ShouldBeGreaterThan, 0.95)
 			So(r.Wrongful, ShouldBeLessThan, 0.01)
 			So(r.RateExcess, ShouldEqual, 0)
@@ -99,12 +97,12 @@
 	}
 }
 
-// The upstreams of a deep chain repeat by themselves what failed, and the
-// deepest loses four answers in ten. Unbounded, one request then runs hundreds of
-// times, and the fleet is busy with repeats after the loss has ended.
+// Guards against unbounded retries in a deep chain. Upstreams retry failed sub-calls themselves, and the last service loses
+// four responses in ten; without a run budget, one request runs hundreds of times, and retries keep the fleet busy after the
+// loss has ended.
 func TestDeepChain(t *testing.T) {
 	deep := Experiment{Deployment: Deep(16, 1), Policy: Ours(), Cause: DeepLossy, Times: 5, Seed: 7}
-	Convey("No request runs more often than its budget, goodput is what the answers allow, and it recovers", t, func() {
+	Convey("No request exceeds its run budget, goodput is near what the response loss allows, and it recovers", t, func() {
 		r := deep.Run()
 		So(r.MostRuns, ShouldBeLessThanOrEqualTo, deep.Policy.Budget)
 		So(r.Goodput, ShouldBeGreaterThan, 0.9*1.25*0.6)
@@ -113,12 +111,12 @@
 }
 
 func TestPlacingOfOneSlowInstance(t *testing.T) {
-	Convey("Two choices keep the slowest answers faster than taking turns does", t, func() {
-		turns := Ours()
-		turns.Placing = placing.RoundRobin
+	Convey("Placement by two random choices has a lower 99th percentile of latency than round robin", t, func() {
+		roundRobin := Ours()
+		roundRobin.Placing = placing.RoundRobin
 		e := Experiment{Deployment: Rejestr(), Policy: Ours(), Cause: OneSlow, Times: 5, Seed: 7}
 		other := e
-		other.Policy = turns
+		other.Policy = roundRobin
 		results := runAll([]Experiment{e, other})
 		So(results[0].SlowestSeconds, ShouldBeLessThan, results[1].SlowestSeconds)
 	})
--- a/internal/load/chain/deployment.go
+++ b/internal/load/chain/deployment.go
@@ -6,50 +6,50 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Service is the size of one service and the mean time that one request takes of a slot.
+// Service is the size of one service and the mean work time of its requests.
 type Service struct {
-	Name      string
-	Instances int
-	Slots     int
-	Conns     int
-	Mean      time.Duration
+	Name        string
+	Instances   int
+	Slots       int
+	Connections int
+	MeanWork    time.Duration
 }
 
-// Operation is one kind of request: the services that it runs at, each calling the next.
+// Operation is one kind of request, with the services on its path, each of which calls the next.
 type Operation struct {
 	Name     string
 	Priority call.Priority
 	Path     []string
-	// Share is its part of all requests.
+	// Share is the operation's fraction of all requests.
 	Share   float64
 	Timeout time.Duration
-	// Fan is how many calls side by side the service at FanAt in the path makes of the next; 0 and 1 mean one.
-	Fan   int
-	FanAt int
+	// FanOut is the number of concurrent sub-calls that the service at index FanOutHop of the path makes; 0 and 1 mean one.
+	FanOut    int
+	FanOutHop int
 }
 
-// width returns how many calls of one request reach the service at that place of the path.
+// width returns the number of sub-calls for one request that reach the service at that index of the path.
 func (o *Operation) width(hop int) int {
-	if hop > o.FanAt {
-		return max(o.Fan, 1)
+	if hop > o.FanOutHop {
+		return max(o.FanOut, 1)
 	}
 	return 1
 }
 
-// Deployment is the sizes of one user's fleet.
+// Deployment describes a fleet and its load.
 type Deployment struct {
 	Name       string
 	Services   []Service
 	Operations []Operation
-	// Demand is each organisation's part of all requests; a few are large.
+	// Demand is each organisation's fraction of all requests; a few are large.
 	Demand []float64
-	// Insist is how often an upstream repeats by itself a call of its own that failed.
-	Insist int
+	// UpstreamRetries is how often an upstream itself retries a failed sub-call.
+	UpstreamRetries int
 }
 
 var demand = []float64{0.30, 0.25, 0.12, 0.10, 0.08, 0.06, 0.05, 0.04}
 
-// Rejestr returns the sizes of Rejestr Wezwań Mazowsze; slot times are assumed.
+// Rejestr returns the sizes of Rejestr Wezwań Mazowsze; work times are assumed.
 func Rejestr() Deployment {
 	return Deployment{
 		Name: "rejestr",
@@ -68,7 +68,7 @@
 	}
 }
 
-// Desarrollos returns the sizes of Desarrollos Quetzaltenango Soluciones; slot times are assumed.
+// Desarrollos returns the sizes of Desarrollos Quetzaltenango Soluciones; work times are assumed.
 func Desarrollos() Deployment {
 	return Deployment{
 		Name: "desarrollos",
@@ -87,44 +87,43 @@
 	}
 }
 
-// busiest is the part of the tightest service's slots that load 1 keeps busy.
-const busiest = 0.8
+// bottleneckSaturation is the fraction of the bottleneck service's slots that are in use at load 1.
+const bottleneckSaturation = 0.8
 
-// rate returns the requests a second at load 1. A slot is held while the
-// services further down the path work.
+// rate returns the requests per second at load 1. A slot is held while the services further along the path work.
 func (d *Deployment) rate() float64 {
-	means := map[string]time.Duration{}
+	workTimes := map[string]time.Duration{}
 	for _, s := range d.Services {
-		means[s.Name] = s.Mean
+		workTimes[s.Name] = s.MeanWork
 	}
-	held := map[string]float64{}
+	slotTime := map[string]float64{}
 	for _, o := range d.Operations {
-		below := 0.0
+		holdTime := 0.0
 		for i := len(o.Path) - 1; i >= 0; i-- {
-			below += means[o.Path[i]].Seconds()
-			held[o.Path[i]] += o.Share * below * float64(o.width(i))
+			holdTime += workTimes[o.Path[i]].Seconds()
+			slotTime[o.Path[i]] += o.Share * holdTime * float64(o.width(i))
 		}
 	}
-	tightest := 0.0
+	highest := 0.0
 	for _, s := range d.Services {
-		tightest = max(tightest, held[s.Name]/float64(s.Instances*s.Slots))
+		highest = max(highest, slotTime[s.Name]/float64(s.Instances*s.Slots))
 	}
-	return busiest / tightest
+	return bottleneckSaturation / highest
 }
 
-// interactive returns the part of all requests that are interactive.
-func (d *Deployment) interactive() float64 {
-	part := 0.0
+// interactiveShare returns the fraction of interactive requests.
+func (d *Deployment) interactiveShare() float64 {
+	share := 0.0
 	for _, o := range d.Operations {
 		if o.Priority == call.Interactive {
-			part += o.Share
+			share += o.Share
 		}
 	}
-	return part
+	return share
 }
 
-// deepest returns the service that most requests end at.
-func (d *Deployment) deepest() string {
+// lastService returns the last service of the first operation's path, at which most requests end.
+func (d *Deployment) lastService() string {
 	path := d.Operations[0].Path
 	return path[len(path)-1]
 }
--- a/internal/load/chain/doc.go
+++ b/internal/load/chain/doc.go
@@ -1,5 +1,5 @@
-// Package chain runs the decisions under load over one model of a service chain, in virtual time.
+// Package chain simulates a chain of services in virtual time, with the decision packages of the daemon.
 //
-// It is an experiment to compare choices, not a simulator of clusters: instances
-// have slots and a queue inside, the network is a constant delay, and callers retry hard.
+// It compares policies and is no full simulator of clusters: instances have slots and an internal queue, the network delay is
+// constant, and callers retry aggressively.
 package chain
--- a/internal/load/chain/fleet.go
+++ b/internal/load/chain/fleet.go
@@ -10,100 +10,100 @@
 	"github.com/foxtailhook/foxtailhook/internal/load/virtual"
 )
 
-// oneWay is the time of a message between two hosts.
-const oneWay = time.Millisecond
+// hostDelay is the one-way delay between two hosts.
+const hostDelay = time.Millisecond
 
-// fleet is one run's world.
+// fleet is the state of one run.
 type fleet struct {
-	clock      virtual.Clock
-	random     *rand.Rand
-	policy     Policy
-	deployment Deployment
-	hosts      map[string][]lists.Host
-	byName     map[string]*host
-	all        []*host
-	names      []string
-	weights    []int
-	turn       int
-	buckets    []bucket
-	lent       *lentRates
-	// loss is the part of all answers that are lost after the work was done.
-	loss float64
-	// deepLoss is the part of the deepest service's answers that are lost.
-	deepLoss float64
-	runs     int
-	// most is the most runs that one request at the door has caused.
-	most int
+	clock          virtual.Clock
+	random         *rand.Rand
+	policy         Policy
+	deployment     Deployment
+	hostsByService map[string][]lists.Host
+	hostsByName    map[string]*host
+	hosts          []*host
+	organisations  []string
+	weights        []int
+	nextInstance   int
+	buckets        []bucket
+	lentRates      *lentRates
+	// lossFraction is the fraction of all responses that are lost after the work is done.
+	lossFraction float64
+	// lastServiceLossFraction is the fraction of the last service's responses that are lost.
+	lastServiceLossFraction float64
+	runs                    int
+	// maxRunsPerRequest is the highest number of runs that one attempt of a caller has caused.
+	maxRunsPerRequest int
 }
 
-// weightScale turns an organisation's part of the demand into a whole weight.
+// weightScale converts an organisation's share of the demand to an integer weight.
 const weightScale = 100
 
 func newFleet(d Deployment, p Policy, seed uint64) *fleet {
 	f := &fleet{
 		policy: p, deployment: d, random: rand.New(rand.NewPCG(seed, seed+1)),
-		hosts: map[string][]lists.Host{}, byName: map[string]*host{},
+		hostsByService: map[string][]lists.Host{}, hostsByName: map[string]*host{},
 	}
 	f.clock.Now = time.Unix(0, 0)
 	for _, s := range d.Services {
 		for i := range s.Instances {
-			entry := lists.Host{Host: fmt.Sprintf("%s-%d", s.Name, i), Service: s.Name}
-			f.hosts[s.Name] = append(f.hosts[s.Name], entry)
+			listed := lists.Host{Host: fmt.Sprintf("%s-%d", s.Name, i), Service: s.Name}
+			f.hostsByService[s.Name] = append(f.hostsByService[s.Name], listed)
 			h := f.newHost(s)
-			f.byName[entry.Host] = h
-			f.all = append(f.all, h)
+			f.hostsByName[listed.Host] = h
+			f.hosts = append(f.hosts, h)
 		}
 	}
 	for i, share := range d.Demand {
-		f.names = append(f.names, fmt.Sprintf("organisation-%d", i))
+		f.organisations = append(f.organisations, fmt.Sprintf("organisation-%d", i))
 		f.weights = append(f.weights, int(math.Round(share*weightScale)))
-		f.buckets = append(f.buckets, bucket{rate: p.Rates * share * d.rate(), at: f.clock.Now})
+		f.buckets = append(f.buckets, bucket{rate: p.Rates * share * d.rate(), refilled: f.clock.Now})
 	}
 	if p.Lent {
-		f.lent = f.newLentRates(seed)
+		f.lentRates = f.newLentRates(seed)
 	}
 	return f
 }
 
-// slow makes the instances slower by a factor.
+// slow multiplies the instances' work times by a factor.
 func (f *fleet) slow(hosts []lists.Host, factor float64) {
 	for _, h := range hosts {
-		f.byName[h.Host].instance.slow = factor
+		f.hostsByName[h.Host].instance.slowFactor = factor
 	}
 }
 
-// lost reports whether the answer to the request is lost.
-func (f *fleet) lost(r request) bool {
-	loss := f.loss
+// responseLost reports whether the response to the request is lost.
+func (f *fleet) responseLost(r request) bool {
+	fraction := f.lossFraction
 	if r.last() {
-		loss = max(loss, f.deepLoss)
+		fraction = max(fraction, f.lastServiceLossFraction)
 	}
-	return loss > 0 && f.random.Float64() < loss
+	return fraction > 0 && f.random.Float64() < fraction
 }
 
-// ran counts a run of the request.
-func (f *fleet) ran(r request) {
+// countRun counts a run of the request.
+func (f *fleet) countRun(r request) {
 	f.runs++
 	*r.runs++
-	f.most = max(f.most, *r.runs)
+	f.maxRunsPerRequest = max(f.maxRunsPerRequest, *r.runs)
 }
 
-// bucket is an organisation's rate and burst, kept in one place; how hosts share it is no matter here.
+// bucket is an exact token bucket for an organisation's rate over the whole fleet.
 type bucket struct {
-	rate   float64
-	tokens float64
-	at     time.Time
+	rate     float64
+	tokens   float64
+	refilled time.Time
 }
 
-// burst is the seconds of its rate that an organisation may send at once.
-const burst = 1
+// burstSeconds is the burst as seconds of the rate.
+const burstSeconds = 1
 
 func (b *bucket) spend(now time.Time) bool {
 	if b.rate == 0 {
 		return true
 	}
-	b.tokens = min(b.tokens+b.rate*now.Sub(b.at).Seconds(), b.rate*burst)
-	b.at = now
+	b.tokens = min(b.tokens+b.rate*now.Sub(b.refilled).Seconds(), b.rate*burstSeconds)
+	b.refilled = now
 	if b.tokens < 1 {
 		return false
 	}
@@ -111,16 +111,16 @@
 	return true
 }
 
-// send is one attempt of a caller at any host; the answer may come after the caller gave up.
-func (f *fleet) send(r request, done func(ok bool, back time.Duration)) {
+// send sends one attempt of a caller to a random host; the response may arrive after the caller has given up.
+func (f *fleet) send(r request, done func(ok bool, retryAfter time.Duration)) {
 	if f.policy.Naive {
-		f.naiveCall(r, triesPerHop, func(ok bool) { done(ok, 0) })
+		f.naiveCall(r, attemptsPerHop, func(ok bool) { done(ok, 0) })
 		return
 	}
-	entry := f.all[f.random.IntN(len(f.all))]
-	f.clock.After(oneWay, func() {
-		entry.enter(r, func(a answer) {
-			f.clock.After(oneWay, func() { done(a.ok, a.back) })
+	ingress := f.hosts[f.random.IntN(len(f.hosts))]
+	f.clock.After(hostDelay, func() {
+		ingress.handleCaller(r, func(a answer) {
+			f.clock.After(hostDelay, func() { done(a.ok, a.retryAfter) })
 		})
 	})
 }
--- a/internal/load/chain/host.go
+++ b/internal/load/chain/host.go
@@ -12,17 +12,17 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// host is an instance with the daemon's decisions beside it.
+// host is an instance with its daemon's decisions.
 type host struct {
 	fleet    *fleet
-	number   int
+	index    int
 	instance *instance
 	gate     *admission.Gate
 	placer   *placing.Placer
 	needs    *budget.Needs
-	// below is what the upstream's own calls need for each operation.
-	below *budget.Needs
-	doors *pressure.Throttles
+	// subcallNeeds estimates the runs that the upstream's sub-calls need for each operation.
+	subcallNeeds *budget.Needs
+	throttles    *pressure.Throttles
 }
 
 // request is one call at one hop of its path.
@@ -39,31 +39,31 @@
 
 func (r request) last() bool { return r.hop == len(r.operation.Path)-1 }
 
-// answer is what comes back for a request.
+// answer is the response to a request.
 type answer struct {
 	ok     bool
 	notRun bool
-	// failed means that the upstream answered that one of its own calls failed; no hop repeats that.
-	failed   bool
-	pressure float64
-	back     time.Duration
-	left     int
-	load     call.Load
+	// subcallFailed means that the upstream reported a failed sub-call; no hop retries that.
+	subcallFailed bool
+	pressure      float64
+	retryAfter    time.Duration
+	unusedRuns    int
+	load          call.Load
 }
 
 func (f *fleet) newHost(s Service) *host {
 	h := &host{
-		fleet:    f,
-		number:   len(f.all),
-		instance: &instance{clock: &f.clock, random: f.random, service: s, slow: 1},
-		needs:    budget.NewNeeds(),
-		below:    budget.NewNeeds(),
-		placer:   placing.New("", placing.WithKind(f.policy.Placing), placing.WithChoose(f.random.IntN)),
-		doors:    pressure.New(pressure.WithRand(f.random.Float64)),
+		fleet:        f,
+		index:        len(f.hosts),
+		instance:     &instance{clock: &f.clock, random: f.random, service: s, slowFactor: 1},
+		needs:        budget.NewNeeds(),
+		subcallNeeds: budget.NewNeeds(),
+		placer:       placing.New("", placing.WithKind(f.policy.Placing), placing.WithChoose(f.random.IntN)),
+		throttles:    pressure.New(pressure.WithRand(f.random.Float64)),
 	}
-	ceiling := int(float64(s.Slots) * f.policy.Ceiling)
+	maxLimit := int(float64(s.Slots) * f.policy.Ceiling)
 	h.gate = admission.New(
-		limit.New(f.policy.Limit, ceiling),
+		limit.New(f.policy.Limit, maxLimit),
 		admission.WithQueue(queue.New[*admission.Ticket](f.policy.Queue)),
 		admission.WithWait(f.policy.Wait),
 		admission.WithRand(f.random.Float64),
@@ -71,50 +71,50 @@
 	return h
 }
 
-// enter is a caller's request at the door; its rate comes first.
-func (h *host) enter(r request, done func(answer)) {
-	decided := func(admitted bool) {
+// handleCaller handles a caller's request at the ingress: first the rate limit, then the throttles.
+func (h *host) handleCaller(r request, done func(answer)) {
+	handleDecision := func(admitted bool) {
 		if !admitted {
 			done(answer{notRun: true})
 			return
 		}
-		h.admit(r, done)
+		h.applyThrottles(r, done)
 	}
-	if h.fleet.lent != nil {
-		h.fleet.lent.spend(h, r.organisation, decided)
+	if h.fleet.lentRates != nil {
+		h.fleet.lentRates.spend(h, r.organisation, handleDecision)
 		return
 	}
-	decided(h.fleet.buckets[r.organisation].spend(h.fleet.clock.Now))
+	handleDecision(h.fleet.buckets[r.organisation].spend(h.fleet.clock.Now))
 }
 
-// admit puts a request within its rate through the door.
-func (h *host) admit(r request, done func(answer)) {
-	organisation := h.fleet.names[r.organisation]
+// applyThrottles rejects a request within its rate if a throttle does, and dispatches it otherwise.
+func (h *host) applyThrottles(r request, done func(answer)) {
+	organisation := h.fleet.organisations[r.organisation]
 	if h.fleet.policy.Doors {
-		if back, ok := h.doors.Admit(h.fleet.clock.Now, organisation, r.operation.Name); !ok {
-			done(answer{notRun: true, back: back})
+		if retryAfter, ok := h.throttles.Admit(h.fleet.clock.Now, organisation, r.operation.Name); !ok {
+			done(answer{notRun: true, retryAfter: retryAfter})
 			return
 		}
 	}
 	h.dispatch(r, budget.New(h.fleet.policy.Budget), func(a answer) {
-		h.doors.Report(h.fleet.clock.Now, organisation, r.operation.Name, a.pressure, a.back)
+		h.throttles.Report(h.fleet.clock.Now, organisation, r.operation.Name, a.pressure, a.retryAfter)
 		done(a)
 	})
 }
 
-// attempts is one hop's tries of one request.
+// attempts tracks the attempts of one request at one hop.
 type attempts struct {
-	host    *host
-	request request
-	account *budget.Account
-	tried   []string
-	ran     bool
-	last    answer
-	done    func(answer)
+	host       *host
+	request    request
+	account    *budget.Account
+	triedHosts []string
+	delivered  bool
+	last       answer
+	done       func(answer)
 }
 
-// drawAgain is how often a call looks whether the calls made beside it gave back what it lacks.
-const drawAgain = time.Millisecond
+// drawRetryInterval is how often a sub-call that got no runs checks whether its concurrent sub-calls have returned some.
+const drawRetryInterval = time.Millisecond
 
 func (h *host) dispatch(r request, account *budget.Account, done func(answer)) {
 	a := &attempts{host: h, request: r, account: account, done: done, last: answer{notRun: true, pressure: 1}}
@@ -123,56 +123,56 @@
 
 func (a *attempts) next() {
 	f, now := a.host.fleet, a.host.fleet.clock.Now
-	if len(a.tried) == triesPerHop || !now.Before(a.request.deadline) {
+	if len(a.triedHosts) == attemptsPerHop || !now.Before(a.request.deadline) {
 		a.finish()
 		return
 	}
-	runs, wait := a.draw()
+	runs, wait := a.drawRuns()
 	if wait != nil {
-		f.clock.After(drawAgain, a.next)
+		f.clock.After(drawRetryInterval, a.next)
 		return
 	}
 	if runs == 0 {
 		a.finish()
 		return
 	}
-	place, ok := a.host.placer.Pick(now, a.request.service(), f.hosts[a.request.service()], a.tried)
+	placement, ok := a.host.placer.Pick(now, a.request.service(), f.hostsByService[a.request.service()], a.triedHosts)
 	if !ok {
 		a.account.Settle(runs, runs)
 		a.finish()
 		return
 	}
-	a.tried = append(a.tried, place.Host.Host)
-	target := f.byName[place.Host.Host]
-	f.clock.After(oneWay, func() {
-		target.serve(a.request, runs, func(back answer) {
-			f.clock.After(oneWay, func() { a.settle(place, runs, back) })
+	a.triedHosts = append(a.triedHosts, placement.Host.Host)
+	target := f.hostsByName[placement.Host.Host]
+	f.clock.After(hostDelay, func() {
+		target.serve(a.request, runs, func(response answer) {
+			f.clock.After(hostDelay, func() { a.handleResponse(placement, runs, response) })
 		})
 	})
 }
 
-// draw takes runs for one attempt from the account; without a budget each attempt may cause any number.
-func (a *attempts) draw() (int, <-chan struct{}) {
+// drawRuns takes runs for one attempt from the account; without a budget, an attempt may cause any number.
+func (a *attempts) drawRuns() (int, <-chan struct{}) {
 	if a.host.fleet.policy.Budget == 0 {
-		return unbounded, nil
+		return unlimitedRuns, nil
 	}
 	return a.account.Draw(a.host.needs.Expect(a.request.operation.Name+a.request.service(), a.request.hop))
 }
 
-// unbounded is the runs of an attempt without a budget.
-const unbounded = 1 << 30
+// unlimitedRuns is the number of runs granted to an attempt without a budget.
+const unlimitedRuns = 1 << 30
 
-func (a *attempts) settle(place placing.Placement, runs int, back answer) {
+func (a *attempts) handleResponse(placement placing.Placement, runs int, response answer) {
 	now := a.host.fleet.clock.Now
 	name := a.request.operation.Name + a.request.service()
-	a.host.placer.Settle(now, place, name, back.ending(), back.load)
-	a.account.Settle(runs, back.left)
-	if back.ok || back.failed {
-		a.host.needs.Learn(name, runs, runs-back.left, back.ok)
+	a.host.placer.Settle(now, placement, name, response.placingResult(), response.load)
+	a.account.Settle(runs, response.unusedRuns)
+	if response.ok || response.subcallFailed {
+		a.host.needs.Learn(name, runs, runs-response.unusedRuns, response.ok)
 	}
-	a.last = back
-	a.ran = a.ran || !back.notRun
-	if back.ok || back.failed {
+	a.last = response
+	a.delivered = a.delivered || !response.notRun
+	if response.ok || response.subcallFailed {
 		a.finish()
 		return
 	}
@@ -180,11 +180,11 @@
 }
 
 func (a *attempts) finish() {
-	a.last.notRun = a.last.notRun && !a.ran
+	a.last.notRun = a.last.notRun && !a.delivered
 	a.done(a.last)
 }
 
-func (a answer) ending() placing.Ending {
+func (a answer) placingResult() placing.Ending {
 	switch {
 	case a.ok:
 		return placing.Served
@@ -197,89 +197,89 @@
 	}
 }
 
-// visit is one request at the host that owns the instance.
-type visit struct {
+// execution is one attempt of a request at the host of an instance.
+type execution struct {
 	host    *host
 	request request
 	ticket  admission.Ticket
 	runs    int
-	begun   time.Time
-	// called is when the instance's own part was done and its calls began.
-	called time.Time
-	work   *work
-	over   bool
-	done   func(answer)
+	started time.Time
+	// subcallsStarted is when the instance's own work was done and its sub-calls began.
+	subcallsStarted time.Time
+	work            *work
+	ended           bool
+	done            func(answer)
 }
 
 func (h *host) serve(r request, runs int, done func(answer)) {
 	f := h.fleet
-	v := &visit{host: h, request: r, runs: runs, done: done}
-	v.ticket = admission.Ticket{
-		Organisation: f.names[r.organisation], Operation: r.operation.Name, Weight: f.weights[r.organisation],
-		Priority: r.operation.Priority, Deadline: r.deadline, Waiter: v,
+	e := &execution{host: h, request: r, runs: runs, done: done}
+	e.ticket = admission.Ticket{
+		Organisation: f.organisations[r.organisation], Operation: r.operation.Name, Weight: f.weights[r.organisation],
+		Priority: r.operation.Priority, Deadline: r.deadline, Waiter: e,
 	}
-	switch d := h.gate.Arrive(f.clock.Now, &v.ticket); d.Verdict {
+	switch d := h.gate.Arrive(f.clock.Now, &e.ticket); d.Verdict {
 	case admission.Run:
-		v.run()
+		e.run()
 	case admission.Refuse:
-		v.refused(d)
+		e.refuse(d)
 	case admission.Wait:
-		f.clock.At(v.ticket.StartBy(), func() {
-			if d, left := h.gate.Leave(f.clock.Now, &v.ticket); left {
-				v.refused(d)
+		f.clock.At(e.ticket.StartBy(), func() {
+			if d, removed := h.gate.Leave(f.clock.Now, &e.ticket); removed {
+				e.refuse(d)
 			}
 		})
 	}
 }
 
-// Decide is called by the gate, which must not be called from here.
-func (v *visit) Decide(d admission.Decision) {
-	v.host.fleet.clock.After(0, func() {
+// Decide implements admission.Waiter. It must not call the gate, so it handles the decision in a separate event.
+func (e *execution) Decide(d admission.Decision) {
+	e.host.fleet.clock.After(0, func() {
 		if d.Verdict == admission.Run {
-			v.run()
+			e.run()
 			return
 		}
-		v.refused(d)
+		e.refuse(d)
 	})
 }
 
-func (v *visit) refused(d admission.Decision) {
-	v.done(answer{notRun: true, pressure: 1, back: d.RetryAfter, left: v.runs, load: v.host.gate.Load()})
+func (e *execution) refuse(d admission.Decision) {
+	e.done(answer{notRun: true, pressure: 1, retryAfter: d.RetryAfter, unusedRuns: e.runs, load: e.host.gate.Load()})
 }
 
-func (v *visit) run() {
-	f := v.host.fleet
-	v.begun = f.clock.Now
-	v.work = v.host.instance.take(v.deeper)
-	if v.work == nil {
-		v.host.gate.Settle(f.clock.Now, &v.ticket, admission.Result{Shed: true})
-		v.refused(admission.Decision{})
+func (e *execution) run() {
+	f := e.host.fleet
+	e.started = f.clock.Now
+	e.work = e.host.instance.accept(e.sendSubcalls)
+	if e.work == nil {
+		e.host.gate.Settle(f.clock.Now, &e.ticket, admission.Result{Shed: true})
+		e.refuse(admission.Decision{})
 		return
 	}
-	f.ran(v.request)
-	f.clock.At(v.request.deadline, func() { v.end(answer{pressure: 1}) })
+	f.countRun(e.request)
+	f.clock.At(e.request.deadline, func() { e.end(answer{pressure: 1}) })
 }
 
-// end settles the visit once, when its work is done or its deadline has passed, which cancels the work.
-func (v *visit) end(a answer) {
-	if v.over {
+// end ends the execution once, when its work is done or its deadline has passed, which cancels the work.
+func (e *execution) end(a answer) {
+	if e.ended {
 		return
 	}
-	v.over = true
-	now := v.host.fleet.clock.Now
-	v.host.instance.release(v.work)
-	v.host.gate.Settle(now, &v.ticket, admission.Result{Own: v.own(now)})
-	if v.host.fleet.lost(v.request) {
+	e.ended = true
+	now := e.host.fleet.clock.Now
+	e.host.instance.release(e.work)
+	e.host.gate.Settle(now, &e.ticket, admission.Result{Own: e.ownTime(now)})
+	if e.host.fleet.responseLost(e.request) {
 		a = answer{}
 	}
-	a.load = v.host.gate.Load()
-	v.done(a)
+	a.load = e.host.gate.Load()
+	e.done(a)
 }
 
-// own returns the instance's own time. As in the daemon, calls still open when the deadline ends the visit are no part of it.
-func (v *visit) own(now time.Time) time.Duration {
-	if v.called.IsZero() {
-		return now.Sub(v.begun)
+// ownTime returns the instance's own time. As in the daemon, it excludes sub-calls that are still open at the deadline.
+func (e *execution) ownTime(now time.Time) time.Duration {
+	if e.subcallsStarted.IsZero() {
+		return now.Sub(e.started)
 	}
-	return v.called.Sub(v.begun)
+	return e.subcallsStarted.Sub(e.started)
 }
--- a/internal/load/chain/host_test.go
+++ b/internal/load/chain/host_test.go
@@ -7,20 +7,19 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The deeper of two services hangs, so that the upper one's calls are still open
-// when its requests run out of time. If that counted as its own time, as it does
-// not in the daemon, it would run a few requests at once for a fault below it,
-// and callers would see refusals for seconds after the fault has gone.
-func TestOpenCallsAreNotOwnTime(t *testing.T) {
-	Convey("A hanging service below takes nothing off the limit of the one above", t, func() {
+// Guards against lowering the limit of an upper service for a fault below it. The lower service hangs, so sub-calls are still
+// open when requests reach their deadline; were they counted as the upper service's own time, its limit would drop, and
+// callers would be rejected for seconds after the fault. The daemon doesn't count them either.
+func TestOpenSubcallsAreNotOwnTime(t *testing.T) {
+	Convey("A hanging lower service doesn't reduce the limit of the upper one", t, func() {
 		d, p := Deep(2, 1), Ours()
-		// No more than the slots at once, so that nothing queues inside, which would be own time.
+		// The limit is at most the number of slots, so that nothing queues in the instance, which would count as own time.
 		p.Ceiling = 1
 		f := newFleet(d, p, 7)
-		start, deep := f.clock.Now, f.hosts[d.deepest()]
-		Experiment{Deployment: d}.callers(f, &tally{begun: start, organisations: make([]counts, len(d.Demand))}, 0, d.rate())
+		start, deep := f.clock.Now, f.hostsByService[d.lastService()]
+		Experiment{Deployment: d}.callers(f, &tally{start: start, organisations: make([]counts, len(d.Demand))}, 0, d.rate())
 		f.clock.Run(start.Add(rampUp))
-		upper := f.byName[f.hosts[d.Operations[0].Path[0]][0].Host]
+		upper := f.hostsByName[f.hostsByService[d.Operations[0].Path[0]][0].Host]
 		before := upper.gate.Load().Limit
 		f.slow(deep, 1000)
 		f.clock.Run(f.clock.Now.Add(4 * time.Second))
--- a/internal/load/chain/instance.go
+++ b/internal/load/chain/instance.go
@@ -7,30 +7,30 @@
 	"github.com/foxtailhook/foxtailhook/internal/load/virtual"
 )
 
-// instance is an upstream: slots, and a queue inside that takes in up to its connections, first come, first served.
+// instance is an upstream with slots and a FIFO queue; it accepts up to its number of connections.
 type instance struct {
-	clock   *virtual.Clock
-	random  *rand.Rand
-	service Service
-	slow    float64
-	busy    int
-	waiting []*work
+	clock      *virtual.Clock
+	random     *rand.Rand
+	service    Service
+	slowFactor float64
+	busy       int
+	waiting    []*work
 }
 
 // work is one request at an instance.
 type work struct {
-	// ready is called when the instance's own part is done; the slot stays held until release.
-	ready   func()
-	started bool
-	over    bool
+	// done is called when the instance's own work is done; the slot stays held until release.
+	done     func()
+	started  bool
+	released bool
 }
 
-// take accepts a request, or returns nil when all connections are taken.
-func (i *instance) take(ready func()) *work {
-	if i.busy+len(i.waiting) >= i.service.Conns {
+// accept accepts a request, or returns nil if all connections are in use.
+func (i *instance) accept(ready func()) *work {
+	if i.busy+len(i.waiting) >= i.service.Connections {
 		return nil
 	}
-	w := &work{ready: ready}
+	w := &work{done: ready}
 	if i.busy < i.service.Slots {
 		i.start(w)
 	} else {
@@ -42,24 +42,24 @@
 func (i *instance) start(w *work) {
 	i.busy++
 	w.started = true
-	i.clock.After(i.own(), func() {
-		if !w.over {
-			w.ready()
+	i.clock.After(i.sampleWork(), func() {
+		if !w.released {
+			w.done()
 		}
 	})
 }
 
-// own draws the time of one request: half of the mean is the same for all, half is spread exponentially.
-func (i *instance) own() time.Duration {
-	return time.Duration(float64(i.service.Mean) * i.slow * (1 + i.random.ExpFloat64()) / 2)
+// sampleWork draws a work time: half of the mean is constant, the other half is exponentially distributed.
+func (i *instance) sampleWork() time.Duration {
+	return time.Duration(float64(i.service.MeanWork) * i.slowFactor * (1 + i.random.ExpFloat64()) / 2)
 }
 
 // release ends a request, whether done or cancelled.
 func (i *instance) release(w *work) {
-	if w.over {
+	if w.released {
 		return
 	}
-	w.over = true
+	w.released = true
 	if !w.started {
 		return
 	}
@@ -67,7 +67,7 @@
 	for len(i.waiting) > 0 && i.busy < i.service.Slots {
 		next := i.waiting[0]
 		i.waiting = i.waiting[1:]
-		if !next.over {
+		if !next.released {
 			i.start(next)
 		}
 	}
--- a/internal/load/chain/lent.go
+++ b/internal/load/chain/lent.go
@@ -9,53 +9,53 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// lentRates is the fleet's rates as the daemons keep them: each host is a home
-// of shards and a borrower, in a world whose time follows the run's.
+// lentRates applies the fleet's rates as the daemons do: each host is a home of shards and a borrower, in a simulation whose
+// clock follows that of the run.
 type lentRates struct {
 	fleet *fleet
-	world *rates.Simulation
-	// ahead is how far the world's clock is ahead of the run's.
-	ahead time.Duration
+	sim   *rates.Simulation
+	// offset is the time by which the simulation's clock is ahead of the run's.
+	offset time.Duration
 }
 
 const (
-	// lentSettle is how long the rates run before the first request, so that homes may lend and buckets are full.
-	lentSettle = 30 * time.Second
-	// lentStep is how often the world catches up with the run while nothing arrives.
-	lentStep = time.Millisecond
+	// lentWarmUp is the time before the first request in which the simulation runs, so that homes may lend and buckets are full.
+	lentWarmUp = 30 * time.Second
+	// lentStepInterval is how often the simulation catches up with the run while no request arrives.
+	lentStepInterval = time.Millisecond
 )
 
 func (f *fleet) newLentRates(seed uint64) *lentRates {
 	var plans []lists.Organisation
-	for i, name := range f.names {
+	for i, name := range f.organisations {
 		perSecond := f.buckets[i].rate
-		plans = append(plans, lists.Organisation{Organisation: name, Plan: "p", Rate: perSecond, Burst: int(math.Round(perSecond * burst))})
+		plans = append(plans, lists.Organisation{Organisation: name, Plan: "p", Rate: perSecond, Burst: int(math.Round(perSecond * burstSeconds))})
 	}
-	l := &lentRates{fleet: f, world: rates.NewSimulation(seed, rates.Lending, rate.DefaultLimits(), plans)}
-	for range f.all {
-		l.world.AddHost()
+	l := &lentRates{fleet: f, sim: rates.NewSimulation(seed, rates.Lending, rate.DefaultLimits(), plans)}
+	for range f.hosts {
+		l.sim.AddHost()
 	}
-	l.world.Publish(l.world.Hosts())
-	l.world.Run(lentSettle)
-	l.ahead = l.world.Now.Sub(f.clock.Now)
-	l.step(f.clock.Now.Add(finishAt))
+	l.sim.Publish(l.sim.Hosts())
+	l.sim.Run(lentWarmUp)
+	l.offset = l.sim.Now.Sub(f.clock.Now)
+	l.step(f.clock.Now.Add(runEnd))
 	return l
 }
 
-// step lets the world follow until the given time.
+// step advances the simulation with the run until the given time.
 func (l *lentRates) step(until time.Time) {
 	l.catchUp()
 	if l.fleet.clock.Now.Before(until) {
-		l.fleet.clock.After(lentStep, func() { l.step(until) })
+		l.fleet.clock.After(lentStepInterval, func() { l.step(until) })
 	}
 }
 
 func (l *lentRates) catchUp() {
-	l.world.Run(l.fleet.clock.Now.Add(l.ahead).Sub(l.world.Now))
+	l.sim.Run(l.fleet.clock.Now.Add(l.offset).Sub(l.sim.Now))
 }
 
-// spend asks for a token at the host; decided is told in the run's time.
+// spend requests a token at the host; decided is called in the run's time.
 func (l *lentRates) spend(h *host, organisation int, decided func(admitted bool)) {
 	l.catchUp()
-	l.world.Decide(l.world.Hosts()[h.number], l.fleet.names[organisation], decided)
+	l.sim.Decide(l.sim.Hosts()[h.index], l.fleet.organisations[organisation], decided)
 }
--- a/internal/load/chain/naive.go
+++ b/internal/load/chain/naive.go
@@ -5,45 +5,45 @@
 // hopTimeout is the fixed timeout of each hop in the naive fleet.
 const hopTimeout = time.Second
 
-// naiveCall tries a hop three times, each at the next instance in turn, with no
-// bound over the chain. An attempt that times out is left running.
-func (f *fleet) naiveCall(r request, tries int, done func(bool)) {
-	hosts := f.hosts[r.service()]
-	f.turn++
-	target := f.byName[hosts[f.turn%len(hosts)].Host]
-	over := false
-	end := func(ok bool) {
-		if over {
+// naiveCall makes up to attemptsLeft attempts at a hop, by round robin, without any bound over the whole chain. An attempt
+// that times out is left running.
+func (f *fleet) naiveCall(r request, attemptsLeft int, done func(bool)) {
+	hosts := f.hostsByService[r.service()]
+	f.nextInstance++
+	target := f.hostsByName[hosts[f.nextInstance%len(hosts)].Host]
+	finished := false
+	finish := func(ok bool) {
+		if finished {
 			return
 		}
-		over = true
-		if ok || tries == 1 {
+		finished = true
+		if ok || attemptsLeft == 1 {
 			done(ok)
 			return
 		}
-		f.naiveCall(r, tries-1, done)
+		f.naiveCall(r, attemptsLeft-1, done)
 	}
-	f.clock.After(hopTimeout, func() { end(false) })
-	f.clock.After(oneWay, func() {
+	f.clock.After(hopTimeout, func() { finish(false) })
+	f.clock.After(hostDelay, func() {
 		f.naiveServe(target.instance, r, func(ok bool) {
-			f.clock.After(oneWay, func() { end(ok) })
+			f.clock.After(hostDelay, func() { finish(ok) })
 		})
 	})
 }
 
 func (f *fleet) naiveServe(i *instance, r request, done func(bool)) {
-	if f.lost(r) {
-		inner := done
-		done = func(bool) { inner(false) }
+	if f.responseLost(r) {
+		deliver := done
+		done = func(bool) { deliver(false) }
 	}
 	var w *work
-	w = i.take(func() {
+	w = i.accept(func() {
 		if r.last() {
 			i.release(w)
 			done(true)
 			return
 		}
-		f.naiveNested(r, func(ok bool) {
+		f.naiveSubcalls(r, func(ok bool) {
 			i.release(w)
 			done(ok)
 		})
@@ -52,30 +52,30 @@
 		done(false)
 		return
 	}
-	f.ran(r)
+	f.countRun(r)
 }
 
-// naiveNested makes an upstream's own calls, side by side, each repeated by itself if it fails.
-func (f *fleet) naiveNested(r request, done func(bool)) {
-	open, all := 1, true
-	if r.hop == r.operation.FanAt {
-		open = max(r.operation.Fan, 1)
+// naiveSubcalls makes an upstream's concurrent sub-calls, each of which the upstream retries if it fails.
+func (f *fleet) naiveSubcalls(r request, done func(bool)) {
+	pending, allOK := 1, true
+	if r.hop == r.operation.FanOutHop {
+		pending = max(r.operation.FanOut, 1)
 	}
 	r.hop++
-	var one func(insist int)
-	one = func(insist int) {
-		f.naiveCall(r, triesPerHop, func(ok bool) {
-			if !ok && insist > 0 {
-				one(insist - 1)
+	var send func(retriesLeft int)
+	send = func(retriesLeft int) {
+		f.naiveCall(r, attemptsPerHop, func(ok bool) {
+			if !ok && retriesLeft > 0 {
+				send(retriesLeft - 1)
 				return
 			}
-			all = all && ok
-			if open--; open == 0 {
-				done(all)
+			allOK = allOK && ok
+			if pending--; pending == 0 {
+				done(allOK)
 			}
 		})
 	}
-	for range open {
-		one(f.deployment.Insist)
+	for range pending {
+		send(f.deployment.UpstreamRetries)
 	}
 }
--- a/internal/load/chain/nested.go
+++ b/internal/load/chain/nested.go
@@ -2,54 +2,54 @@
 
 import "github.com/foxtailhook/foxtailhook/internal/decide/budget"
 
-// nested is the calls that an upstream makes for one request, side by side.
-type nested struct {
-	visit   *visit
-	account *budget.Account
-	open    int
-	all     answer
+// subcalls is the set of concurrent sub-calls that an upstream makes for one request.
+type subcalls struct {
+	execution *execution
+	account   *budget.Account
+	pending   int
+	combined  answer
 }
 
-// deeper calls the next service of the path once the instance's own part is done.
-func (v *visit) deeper() {
-	if v.request.last() {
-		v.end(answer{ok: true, left: v.runs - 1})
+// sendSubcalls calls the next service on the path once the instance's own work is done.
+func (e *execution) sendSubcalls() {
+	if e.request.last() {
+		e.end(answer{ok: true, unusedRuns: e.runs - 1})
 		return
 	}
-	f, o := v.host.fleet, v.request.operation
-	account := budget.NewFor(v.runs-1, v.host.below.Expect(o.Name, v.request.hop+1))
-	v.called = f.clock.Now
-	n := &nested{visit: v, account: account, open: 1, all: answer{ok: true}}
-	if v.request.hop == o.FanAt {
-		n.open = max(o.Fan, 1)
+	f, o := e.host.fleet, e.request.operation
+	account := budget.NewFor(e.runs-1, e.host.subcallNeeds.Expect(o.Name, e.request.hop+1))
+	e.subcallsStarted = f.clock.Now
+	s := &subcalls{execution: e, account: account, pending: 1, combined: answer{ok: true}}
+	if e.request.hop == o.FanOutHop {
+		s.pending = max(o.FanOut, 1)
 	}
-	for range n.open {
-		n.call(f.deployment.Insist)
+	for range s.pending {
+		s.send(f.deployment.UpstreamRetries)
 	}
 }
 
-// call makes one call, which the upstream repeats by itself if it fails.
-func (n *nested) call(insist int) {
-	next := n.visit.request
+// send makes one sub-call, which the upstream retries if it fails.
+func (s *subcalls) send(retriesLeft int) {
+	next := s.execution.request
 	next.hop++
-	n.visit.host.dispatch(next, n.account, func(a answer) {
-		if !a.ok && insist > 0 && !n.visit.over {
-			n.call(insist - 1)
+	s.execution.host.dispatch(next, s.account, func(a answer) {
+		if !a.ok && retriesLeft > 0 && !s.execution.ended {
+			s.send(retriesLeft - 1)
 			return
 		}
-		n.settle(a)
+		s.handleResponse(a)
 	})
 }
 
-func (n *nested) settle(a answer) {
-	n.open--
-	n.all.ok = n.all.ok && a.ok
-	n.all.pressure = max(n.all.pressure, a.pressure)
-	if n.open > 0 {
+func (s *subcalls) handleResponse(a answer) {
+	s.pending--
+	s.combined.ok = s.combined.ok && a.ok
+	s.combined.pressure = max(s.combined.pressure, a.pressure)
+	if s.pending > 0 {
 		return
 	}
-	n.all.failed, n.all.left = !n.all.ok, n.account.Close()
-	given := n.visit.runs - 1
-	n.visit.host.below.Learn(n.visit.request.operation.Name, given, given-n.all.left, n.all.ok)
-	n.visit.end(n.all)
+	s.combined.subcallFailed, s.combined.unusedRuns = !s.combined.ok, s.account.Close()
+	granted := s.execution.runs - 1
+	s.execution.host.subcallNeeds.Learn(s.execution.request.operation.Name, granted, granted-s.combined.unusedRuns, s.combined.ok)
+	s.execution.end(s.combined)
 }
--- a/internal/load/chain/policy.go
+++ b/internal/load/chain/policy.go
@@ -9,39 +9,39 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/queue"
 )
 
-// Policy is the choices that one run is made with.
+// Policy selects the decisions of a run.
 type Policy struct {
 	Name string
-	// Naive sends straight to the instances: round robin, three tries at each
-	// hop, a fixed timeout at each hop, and nothing is cancelled.
+	// Naive sends straight to the instances: round robin, three attempts at each hop, a fixed timeout at each hop, and no
+	// cancellation.
 	Naive   bool
 	Limit   limit.Kind
 	Queue   queue.Kind
 	Placing placing.Kind
-	// Doors refuses at the entry what would fail deeper down.
+	// Doors enables throttles, which reject at the ingress what would fail at a later hop.
 	Doors bool
-	// Budget bounds the runs of one request; 0 allows three tries at each hop.
+	// Budget is the maximum number of runs of one request; 0 allows three attempts at each hop.
 	Budget int
-	// Ceiling is the most that the limit may be, in slots of the instance.
+	// Ceiling is the maximum concurrency limit, as a multiple of the instance's slots.
 	Ceiling float64
 	// Wait is the longest time that a request waits for a slot.
 	Wait time.Duration
-	// Rates is each organisation's rate, relative to what it sends at load 1; 0 for no rates.
+	// Rates is each organisation's rate limit relative to its rate at load 1; 0 for no limits.
 	Rates float64
-	// Lent keeps the rates with the fleet's own code, home and borrower at each host, in place of one exact bucket each.
+	// Lent enforces the rates with the fleet's own code, a home and a borrower at each host, instead of one exact bucket each.
 	Lent bool
 }
 
-// Ours returns the choices that the daemon makes by default.
+// Ours returns the default policy of the daemon.
 func Ours() Policy {
-	return Policy{Name: "ours", Doors: true, Budget: defaultRuns, Ceiling: 2, Wait: admission.DefaultWait}
+	return Policy{Name: "ours", Doors: true, Budget: defaultRunBudget, Ceiling: 2, Wait: admission.DefaultWait}
 }
 
-// Naive returns what the decisions are compared with.
+// Naive returns the policy that the daemon's is compared with.
 func Naive() Policy { return Policy{Name: "naive", Naive: true} }
 
-// defaultRuns is the budget of one request, as the daemon has it by default.
-const defaultRuns = 32
+// defaultRunBudget is the daemon's default budget of one request.
+const defaultRunBudget = 32
 
-// triesPerHop is how many hosts one hop tries, with and without a budget.
-const triesPerHop = 3
+// attemptsPerHop is the number of hosts that one hop tries, with and without a budget.
+const attemptsPerHop = 3
