--- a/internal/load/virtual/clock.go
+++ b/internal/load/virtual/clock.go
@@ -16,10 +16,10 @@
 	do  func()
 }
 
-func (e event) before(o event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+func (e event) before(other event) bool { return e.at < other.at || e.at == other.at && e.seq < other.seq }
 
-// events is a binary heap with the next event first. A run has millions of them,
-// which through container/heap would each be allocated.
+// events is a binary heap with the next event first. It doesn't use container/heap, which would allocate
+// each of a run's millions of events.
 type events []event
 
 func (e *events) push(next event) {
@@ -43,14 +43,14 @@
 	all[len(all)-1] = event{}
 	all = all[:len(all)-1]
 	if len(all) > 0 {
-		all.sink(last)
+		all.siftDown(last)
 	}
 	*e = all
 	return first
 }
 
-// sink puts an event in the first place and moves it down to where it belongs.
-func (e events) sink(moved event) {
+// siftDown places an event at the root of the heap and moves it down to its position.
+func (e events) siftDown(moved event) {
 	i := 0
 	for {
 		child := 2*i + 1
@@ -69,16 +69,16 @@
 	e[i] = moved
 }
 
-// After runs do when the time has passed.
+// After schedules do to run after the given time.
 func (c *Clock) After(d time.Duration, do func()) { c.At(c.Now.Add(d), do) }
 
-// At runs do at a time.
+// At schedules do to run at the given time.
 func (c *Clock) At(t time.Time, do func()) {
 	c.seq++
 	c.events.push(event{at: t.UnixNano(), seq: c.seq, do: do})
 }
 
-// Run executes all events up to a time.
+// Run runs all events that are due until the given time, and sets Now to that time.
 func (c *Clock) Run(until time.Time) {
 	for len(c.events) > 0 && c.events[0].at <= until.UnixNano() {
 		e := c.events.pop()
--- a/internal/load/virtual/doc.go
+++ b/internal/load/virtual/doc.go
@@ -1,2 +1,2 @@
-// Package virtual keeps the time of models, in which a minute passes in as long as its events take.
+// Package virtual provides the virtual clock of simulations, which advances from event to event without waiting.
 package virtual
