--- a/internal/load/changes/demand.go
+++ b/internal/load/changes/demand.go
@@ -20,43 +20,44 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// Demand is traffic of the bench's organisations at a fleet of real daemons.
+// Demand describes traffic of rates.Organisations to a fleet of real daemons.
 type Demand struct {
 	Plan
-	// Skewed lets each organisation's callers come in at three daemons, others for each; otherwise at all alike.
+	// Skewed sends each organisation's requests to three daemons, different ones for each organisation; otherwise they are spread
+	// over all daemons.
 	Skewed bool
-	// Share is what is offered of each rate, as a Poisson process.
+	// Share is the offered load as a fraction of each organisation's rate; requests arrive as a Poisson process.
 	Share float64
-	// Warm is left out of the counts, Length is counted.
+	// Warm is the initial time that isn't counted, Length the time that is.
 	Warm   time.Duration
 	Length time.Duration
 }
 
-// DemandResult is what one run of traffic found.
+// DemandResult holds the results of a run.
 type DemandResult struct {
 	Daemons int    `json:"daemons"`
 	Arrival string `json:"arrival"`
-	// Percent is the share of the requests inside one global bucket that were refused for the rate.
-	Percent       float64       `json:"wrongfulPercent"`
+	// Percent is the percentage of requests refused for the rate, among those that one global bucket would have admitted.
+	Percent       float64                   `json:"wrongfulPercent"`
 	Organisations []rates.OrganisationCount `json:"organisations"`
-	// Other counts answers that were neither whole nor refused for the rate, by their reason.
+	// Other counts responses that were neither whole nor refused for the rate, by outcome and reason.
 	Other map[string]int `json:"other"`
-	Spent Spent          `json:"spent"`
+	Spent ResourceUse    `json:"spent"`
 }
 
-// demand counts the answers to a run's requests.
+// demand counts the responses to a run's requests.
 type demand struct {
-	plan   *Demand
-	client *http.Client
-	mu     sync.Mutex
-	inside *rates.Checker
-	count  bool
-	seen   map[string]*rates.OrganisationCount
-	other  map[string]int
+	plan          *Demand
+	client        *http.Client
+	mu            sync.Mutex
+	globalBuckets *rates.Checker
+	counting      bool
+	counts        map[string]*rates.OrganisationCount
+	other         map[string]int
 }
 
-// spots is the number of daemons at which a skewed organisation's callers come in.
-const spots = 3
+// skewedDaemons is the number of daemons that receive a skewed organisation's requests.
+const skewedDaemons = 3
 
 // RunDemand publishes the lists, waits until the fleet is ready, and sends the traffic.
 func RunDemand(ctx context.Context, p Demand, progress io.Writer) (DemandResult, error) {
@@ -68,37 +69,37 @@
 		return r, err
 	}
 	fmt.Fprintf(progress, "demand: %d daemons ready\n", r.Daemons)
-	sleep(ctx, settle)
+	sleep(ctx, settleTime)
 	d := &demand{
-		plan: &p, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clientConns}},
-		inside: rates.NewChecker(rates.Organisations(), time.Now()), seen: map[string]*rates.OrganisationCount{}, other: map[string]int{},
+		plan: &p, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}},
+		globalBuckets: rates.NewChecker(rates.Organisations(), time.Now()), counts: map[string]*rates.OrganisationCount{}, other: map[string]int{},
 	}
 	for _, o := range rates.Organisations() {
-		d.seen[o.Organisation] = &rates.OrganisationCount{Organisation: o.Organisation, Refusals: map[string]int{}}
+		d.counts[o.Organisation] = &rates.OrganisationCount{Organisation: o.Organisation, Refusals: map[string]int{}}
 	}
-	run, stop := context.WithCancel(ctx)
+	streamCtx, stop := context.WithCancel(ctx)
 	var streams sync.WaitGroup
 	for i, o := range rates.Organisations() {
-		streams.Go(func() { d.stream(run, i, o) })
+		streams.Go(func() { d.runStream(streamCtx, i, o) })
 	}
 	sleep(ctx, p.Warm)
 	var err error
-	r.Spent, err = p.part(ctx, func() error {
-		d.counting(true)
+	r.Spent, err = p.measureDuring(ctx, func() error {
+		d.setCounting(true)
 		sleep(ctx, p.Length)
-		d.counting(false)
+		d.setCounting(false)
 		return nil
 	})
 	stop()
 	streams.Wait()
-	d.fill(&r)
+	d.fillResult(&r)
 	return r, err
 }
 
-const clientConns = 256
+const maxIdleConnections = 256
 
-// unchanged is the number of no change, so that every key is as it was first given.
-const unchanged = -1
+// noChange is passed to Plan.keys for the initial keys of all organisations.
+const noChange = -1
 
 // prepare publishes the lists and waits for the fleet.
 func (p *Demand) prepare(ctx context.Context) error {
@@ -108,16 +109,16 @@
 	for i := range plans.Organisations {
 		plans.Organisations[i].Plan = "plan"
 	}
-	uses := uses()
-	uses.Operations[0].Method = http.MethodPost
-	keys := p.keys(unchanged)
+	useList := uses()
+	useList.Operations[0].Method = http.MethodPost
+	keys := p.keys(noChange)
 	for i := range keys.Keys {
 		keys.Keys[i].Organisation = plans.Organisations[i].Organisation
 	}
 	values := []struct {
 		kind  lists.Kind
 		value any
-	}{{lists.KindHosts, p.hosts()}, {lists.KindKeys, keys}, {lists.KindUses, uses}, {lists.KindPlans, plans}}
+	}{{lists.KindHosts, p.hosts()}, {lists.KindKeys, keys}, {lists.KindUses, useList}, {lists.KindPlans, plans}}
 	for _, v := range values {
 		if _, err := p.publish(ctx, v.kind, v.value); err != nil {
 			return err
@@ -126,13 +127,13 @@
 	return traffic.AwaitReady(ctx, p.operators())
 }
 
-func (d *demand) counting(on bool) {
+func (d *demand) setCounting(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.count = on
+	d.counting = on
 }
 
-func (d *demand) stream(ctx context.Context, number int, o lists.Organisation) {
+func (d *demand) runStream(ctx context.Context, number int, o lists.Organisation) {
 	mean := float64(time.Second) / (o.Rate * d.plan.Share)
 	var sending sync.WaitGroup
 	defer sending.Wait()
@@ -144,56 +145,56 @@
 			return
 		case <-time.After(time.Until(next)):
 		}
-		at := rand.IntN(len(d.plan.Daemons))
+		index := rand.IntN(len(d.plan.Daemons))
 		if d.plan.Skewed {
-			at = (number + rand.IntN(spots)) % len(d.plan.Daemons)
+			index = (number + rand.IntN(skewedDaemons)) % len(d.plan.Daemons)
 		}
-		sending.Go(func() { d.send(number, o.Organisation, d.plan.Daemons[at]) })
+		sending.Go(func() { d.send(number, o.Organisation, d.plan.Daemons[index]) })
 	}
 }
 
-// send asks one daemon and counts its answer.
-func (d *demand) send(number int, organisation string, to Daemon) {
-	counted := d.arrive(organisation)
-	outcome, reason := d.ask(fmt.Sprintf("key-%d", number), to)
+// send sends one request to the daemon and counts the response.
+func (d *demand) send(number int, organisation string, daemon Daemon) {
+	counted := d.recordArrival(organisation)
+	outcome, reason := d.request(fmt.Sprintf("key-%d", number), daemon)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	tally := d.seen[organisation]
+	counts := d.counts[organisation]
 	switch {
 	case !counted:
 	case reason == call.OverRate.String():
-		tally.Refusals[reason]++
+		counts.Refusals[reason]++
 	default:
-		// The rate let it through, whatever came after.
-		tally.Admitted++
+		// The rate limit admitted the request, whatever happened afterwards.
+		counts.Admitted++
 		if outcome != call.Whole.String() {
 			d.other[outcome+" "+reason]++
 		}
 	}
 }
 
-// arrive notes a request, and whether one global bucket would admit it.
-func (d *demand) arrive(organisation string) bool {
+// recordArrival counts a request, and whether one global bucket would admit it. It returns false outside the counted time.
+func (d *demand) recordArrival(organisation string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	inside := d.inside.Inside(organisation, time.Now())
-	if !d.count {
+	inside := d.globalBuckets.Inside(organisation, time.Now())
+	if !d.counting {
 		return false
 	}
-	d.seen[organisation].Arrivals++
+	d.counts[organisation].Arrivals++
 	if inside {
-		d.seen[organisation].Inside++
+		d.counts[organisation].Inside++
 	}
 	return true
 }
 
-// askTime is how long an answer is waited for.
-const askTime = 5 * time.Second
+// requestTimeout is how long a response is waited for.
+const requestTimeout = 5 * time.Second
 
-func (d *demand) ask(key string, to Daemon) (outcome, reason string) {
-	ctx, cancel := context.WithTimeout(context.Background(), askTime)
+func (d *demand) request(key string, daemon Daemon) (outcome, reason string) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to.Callers.String()+"/service-0/", strings.NewReader("x"))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+daemon.Callers.String()+"/service-0/", strings.NewReader("x"))
 	if err != nil {
 		return "", err.Error()
 	}
@@ -216,15 +217,15 @@
 	return outcome, refusal.Reason
 }
 
-func (d *demand) fill(r *DemandResult) {
+func (d *demand) fillResult(r *DemandResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	inside, wrongful := 0, 0
 	for _, o := range rates.Organisations() {
-		t := *d.seen[o.Organisation]
-		r.Organisations = append(r.Organisations, t)
-		inside += t.Inside
-		wrongful += max(t.Inside-t.Admitted, 0)
+		counts := *d.counts[o.Organisation]
+		r.Organisations = append(r.Organisations, counts)
+		inside += counts.Inside
+		wrongful += max(counts.Inside-counts.Admitted, 0)
 	}
 	r.Other = d.other
 	r.Percent = 100 * float64(wrongful) / float64(max(inside, 1))
--- a/internal/load/changes/plan.go
+++ b/internal/load/changes/plan.go
@@ -14,7 +14,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// Daemon is one process of the fleet that is measured.
+// Daemon is one process of the measured fleet.
 type Daemon struct {
 	Host      string         `json:"host"`
 	Zone      string         `json:"zone"`
@@ -25,33 +25,33 @@
 	Log       string         `json:"log"`
 }
 
-// Plan says what is measured.
+// Plan describes a measurement.
 type Plan struct {
 	Platform netip.AddrPort
 	Daemons  []Daemon
-	// Listed is the number of hosts on the published list; those beyond the daemons are leaving, so that
-	// they cost memory and bytes as in a large fleet but get no messages.
+	// Listed is the number of hosts on the published host list. Those beyond the daemons are marked as leaving: they cost memory
+	// and bytes as in a large fleet but get no messages.
 	Listed        int
 	Organisations int
 	Changes       int
-	// Idle is the length of the quiet part, Every the time between two changes.
+	// Idle is the length of the idle phase, Every the time between two changes.
 	Idle  time.Duration
 	Every time.Duration
 	// OneService makes all daemons hosts of one service.
 	OneService bool
 }
 
-// ReadFleet reads a JSON array of daemons.
+// ReadFleet reads a JSON array of daemons from a file.
 func ReadFleet(path string) ([]Daemon, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "changes: read fleet")
 	}
 	var all []Daemon
-	return all, errors.Wrap(json.Unmarshal(raw, &all), "changes: fleet")
+	return all, errors.Wrap(json.Unmarshal(raw, &all), "changes: decode fleet")
 }
 
-// services is the number of services over which listed hosts are spread.
+// services is the number of services that the listed hosts are spread over.
 const services = 9
 
 func (p *Plan) services() int {
@@ -69,10 +69,10 @@
 		})
 	}
 	for i := len(p.Daemons); i < p.Listed; i++ {
-		at := netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
+		address := netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
 		list.Hosts = append(list.Hosts, lists.Host{
 			Host: fmt.Sprintf("listed-%d", i), Service: fmt.Sprintf("service-%d", i%services), Region: "default",
-			Zone: "elsewhere", Peer: netip.AddrPortFrom(at, 7001), Leaving: true,
+			Zone: "elsewhere", Peer: netip.AddrPortFrom(address, 7001), Leaving: true,
 		})
 	}
 	return list
@@ -88,7 +88,7 @@
 	return list
 }
 
-// keys returns the list in which one organisation's key has been changed for the given time.
+// keys returns the list of keys after the change with the given number, which replaces one organisation's key.
 func (p *Plan) keys(change int) lists.Keys {
 	var list lists.Keys
 	for i := range p.Organisations {
--- a/internal/load/changes/run.go
+++ b/internal/load/changes/run.go
@@ -20,7 +20,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/load/traffic"
 )
 
-// Result is what one measurement found.
+// Result holds the results of a measurement.
 type Result struct {
 	Daemons       int `json:"daemons"`
 	Listed        int `json:"listedHosts"`
@@ -29,18 +29,18 @@
 	// KeysBytes and HostsBytes are the sizes of the published values.
 	KeysBytes  int `json:"keysBytes"`
 	HostsBytes int `json:"hostsBytes"`
-	// Ready is the time from the publishing of the lists to the last daemon that takes callers, in milliseconds.
+	// Ready is the time in milliseconds from publishing the lists until the last daemon accepts callers.
 	Ready int64 `json:"readyMs"`
-	// InForce is the time from the publishing of a change to its acceptance at the last daemon, over the
-	// changes, in milliseconds; Each is the same over daemons and changes.
-	InForce Range `json:"inForceMs"`
-	Each    Range `json:"eachMs"`
-	Missing int   `json:"missing"`
-	Idle    Spent `json:"idle"`
-	Busy    Spent `json:"changing"`
+	// InForce is the time in milliseconds from publishing a change until the last daemon accepts it, over all changes; Each is
+	// the same for every pair of daemon and change.
+	InForce Range       `json:"inForceMs"`
+	Each    Range       `json:"eachMs"`
+	Missing int         `json:"missing"`
+	Idle    ResourceUse `json:"idle"`
+	Busy    ResourceUse `json:"changing"`
 }
 
-// Run publishes the lists, waits until the fleet is ready, and measures a quiet and a changing part.
+// Run publishes the lists, waits until the fleet is ready, and measures an idle phase and one with changes.
 func Run(ctx context.Context, p Plan, progress io.Writer) (Result, error) {
 	r := Result{Daemons: len(p.Daemons), Listed: p.Listed, Organisations: p.Organisations, Changes: p.Changes}
 	hosts, err := p.publish(ctx, lists.KindHosts, p.hosts())
@@ -58,24 +58,24 @@
 	if _, err := p.publish(ctx, lists.KindPlans, p.plans()); err != nil {
 		return r, err
 	}
-	begun := time.Now()
+	start := time.Now()
 	if err := traffic.AwaitReady(ctx, p.operators()); err != nil {
 		return r, err
 	}
-	r.Ready = time.Since(begun).Milliseconds()
+	r.Ready = time.Since(start).Milliseconds()
 	fmt.Fprintf(progress, "changes: %d daemons ready after %d ms\n", r.Daemons, r.Ready)
-	sleep(ctx, settle)
-	if r.Idle, err = p.part(ctx, func() error { sleep(ctx, p.Idle); return nil }); err != nil {
+	sleep(ctx, settleTime)
+	if r.Idle, err = p.measureDuring(ctx, func() error { sleep(ctx, p.Idle); return nil }); err != nil {
 		return r, err
 	}
 	var published []publication
-	r.Busy, err = p.part(ctx, func() error {
+	r.Busy, err = p.measureDuring(ctx, func() error {
 		for i := range p.Changes {
-			one, err := p.publish(ctx, lists.KindKeys, p.keys(i+1))
+			change, err := p.publish(ctx, lists.KindKeys, p.keys(i+1))
 			if err != nil {
 				return err
 			}
-			published = append(published, one)
+			published = append(published, change)
 			sleep(ctx, p.Every)
 		}
 		return nil
@@ -83,11 +83,11 @@
 	if err != nil {
 		return r, err
 	}
-	return r, r.times(p, published)
+	return r, r.readAcceptanceTimes(p, published)
 }
 
-// settle lets the fleet come to rest after its start.
-const settle = 5 * time.Second
+// settleTime is the time that the fleet gets to become idle after its start.
+const settleTime = 5 * time.Second
 
 func sleep(ctx context.Context, d time.Duration) {
 	select {
@@ -104,7 +104,7 @@
 	return all
 }
 
-// publication is one version of a list and when it was published.
+// publication is a published version of a list.
 type publication struct {
 	version uint64
 	at      time.Time
@@ -114,12 +114,12 @@
 func (p *Plan) publish(ctx context.Context, kind lists.Kind, value any) (publication, error) {
 	raw, err := json.Marshal(value)
 	if err != nil {
-		return publication{}, errors.Wrap(err, "changes: encode")
+		return publication{}, errors.Wrap(err, "changes: encode list")
 	}
 	url := fmt.Sprintf("http://%s/v1/lists/%s", p.Platform, kind)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(raw))
 	if err != nil {
-		return publication{}, errors.Wrap(err, "changes")
+		return publication{}, errors.Wrap(err, "changes: build request")
 	}
 	at := time.Now()
 	res, err := http.DefaultClient.Do(req)
@@ -127,38 +127,38 @@
 		return publication{}, errors.Wrap(err, "changes: publish")
 	}
 	defer func() { _ = res.Body.Close() }()
-	answer, err := io.ReadAll(res.Body)
+	body, err := io.ReadAll(res.Body)
 	if err != nil {
 		return publication{}, errors.Wrap(err, "changes: publish")
 	}
-	version, err := strconv.ParseUint(strings.TrimSpace(string(answer)), 10, 64)
-	return publication{version: version, at: at, bytes: len(raw)}, errors.Wrap(err, "changes: version")
+	version, err := strconv.ParseUint(strings.TrimSpace(string(body)), 10, 64)
+	return publication{version: version, at: at, bytes: len(raw)}, errors.Wrap(err, "changes: parse the published version")
 }
 
-// part measures all daemons before and after f.
-func (p *Plan) part(ctx context.Context, f func() error) (Spent, error) {
-	before, calls, err := p.measure(ctx)
+// measureDuring runs f and returns what the daemons used meanwhile.
+func (p *Plan) measureDuring(ctx context.Context, f func() error) (ResourceUse, error) {
+	before, callsBefore, err := p.readUsages(ctx)
 	if err != nil {
-		return Spent{}, err
+		return ResourceUse{}, err
 	}
-	begun := time.Now()
+	start := time.Now()
 	if err := f(); err != nil {
-		return Spent{}, err
+		return ResourceUse{}, err
 	}
-	length := time.Since(begun)
-	after, last, err := p.measure(ctx)
+	length := time.Since(start)
+	after, callsAfter, err := p.readUsages(ctx)
 	if err != nil {
-		return Spent{}, err
+		return ResourceUse{}, err
 	}
-	s := spent(before, after)
-	s.PlatformCalls = float64(last-calls) / length.Seconds()
-	return s, nil
+	use := usageBetween(before, after)
+	use.PlatformCalls = float64(callsAfter-callsBefore) / length.Seconds()
+	return use, nil
 }
 
-func (p *Plan) measure(ctx context.Context) ([]usage, int, error) {
+func (p *Plan) readUsages(ctx context.Context) ([]usage, int, error) {
 	all := make([]usage, len(p.Daemons))
 	for i, d := range p.Daemons {
-		u, err := measure(ctx, d)
+		u, err := readUsage(ctx, d)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -169,37 +169,37 @@
 		return nil, 0, err
 	}
 	calls, err := strconv.Atoi(strings.TrimSpace(string(raw)))
-	return all, calls, errors.Wrap(err, "changes: reads")
+	return all, calls, errors.Wrap(err, "changes: parse the count of reads")
 }
 
-// times reads from the logs when each daemon accepted each change.
-func (r *Result) times(p Plan, published []publication) error {
+// readAcceptanceTimes reads from the logs when each daemon accepted each change.
+func (r *Result) readAcceptanceTimes(p Plan, published []publication) error {
 	var each []float64
 	last := make([]float64, len(published))
 	for _, d := range p.Daemons {
-		accepted, err := acceptances(d.Log)
+		accepted, err := acceptanceTimes(d.Log)
 		if err != nil {
 			return err
 		}
-		for i, one := range published {
-			at, ok := accepted[one.version]
+		for i, change := range published {
+			at, ok := accepted[change.version]
 			if !ok {
 				r.Missing++
 				continue
 			}
-			took := float64(at.Sub(one.at).Microseconds()) / 1000
-			each = append(each, took)
-			last[i] = max(last[i], took)
+			elapsed := float64(at.Sub(change.at).Microseconds()) / 1000
+			each = append(each, elapsed)
+			last[i] = max(last[i], elapsed)
 		}
 	}
 	r.InForce, r.Each = rangeOf(last), rangeOf(each)
 	return nil
 }
 
-func acceptances(path string) (map[uint64]time.Time, error) {
+func acceptanceTimes(path string) (map[uint64]time.Time, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "changes: log")
+		return nil, errors.Wrap(err, "changes: open log")
 	}
 	defer func() { _ = file.Close() }()
 	all := map[uint64]time.Time{}
@@ -219,5 +219,5 @@
 			all[line.Version] = line.Time
 		}
 	}
-	return all, errors.Wrap(lines.Err(), "changes: log")
+	return all, errors.Wrap(lines.Err(), "changes: read log")
 }
--- a/internal/load/changes/usage.go
+++ b/internal/load/changes/usage.go
@@ -17,30 +17,30 @@
 
 // usage is what a process has used since its start.
 type usage struct {
-	at       time.Time
-	cpu      time.Duration
-	resident int
-	peak     int
-	sent     uint64
-	received uint64
-	links    int
-	// listBytes and leaseBytes are the parts of sent for lists and membership, and for rates over the fleet.
+	takenAt        time.Time
+	cpu            time.Duration
+	residentMemory int
+	peakMemory     int
+	sent           uint64
+	received       uint64
+	connections    int
+	// listBytes and leaseBytes are the portions of sent for lists and membership, and for rates.
 	listBytes, leaseBytes uint64
-	asks                  uint64
-	waits                 uint64
+	leaseRequests         uint64
+	tokenWaits            uint64
 }
 
 // clockTick is the unit of CPU times in /proc, USER_HZ, which Linux fixes at 100.
 const clockTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat, counted behind the command's closing parenthesis.
+// Indexes of fields of /proc/PID/stat, counted after the closing parenthesis of the command.
 const (
-	fieldUser   = 11
-	fieldSystem = 12
-	fieldPages  = 21
+	fieldUser          = 11
+	fieldSystem        = 12
+	fieldResidentPages = 21
 )
 
-func measure(ctx context.Context, d Daemon) (usage, error) {
+func readUsage(ctx context.Context, d Daemon) (usage, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.PID))
 	if err != nil {
 		return usage{}, errors.Wrap(err, "changes: process")
@@ -48,16 +48,16 @@
 	fields := bytes.Fields(raw[bytes.LastIndexByte(raw, ')')+1:])
 	user, _ := strconv.Atoi(string(fields[fieldUser]))
 	system, _ := strconv.Atoi(string(fields[fieldSystem]))
-	pages, _ := strconv.Atoi(string(fields[fieldPages]))
-	u := usage{at: time.Now(), cpu: time.Duration(user+system) * clockTick, resident: pages * os.Getpagesize()}
-	if u.peak, err = peak(d); err != nil {
+	pages, _ := strconv.Atoi(string(fields[fieldResidentPages]))
+	u := usage{takenAt: time.Now(), cpu: time.Duration(user+system) * clockTick, residentMemory: pages * os.Getpagesize()}
+	if u.peakMemory, err = peakMemory(d); err != nil {
 		return usage{}, err
 	}
-	return u, u.status(ctx, d)
+	return u, u.readStatus(ctx, d)
 }
 
-// peak returns the greatest resident memory since the process began, in bytes.
-func peak(d Daemon) (int, error) {
+// peakMemory returns the highest resident memory since the process started, in bytes.
+func peakMemory(d Daemon) (int, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.PID))
 	if err != nil {
 		return 0, errors.Wrap(err, "changes: process")
@@ -65,14 +65,14 @@
 	for line := range bytes.Lines(raw) {
 		if fields := bytes.Fields(line); len(fields) > 1 && string(fields[0]) == "VmHWM:" {
 			kilobytes, err := strconv.Atoi(string(fields[1]))
-			return kilobytes << 10, errors.Wrap(err, "changes: VmHWM")
+			return kilobytes << 10, errors.Wrap(err, "changes: parse VmHWM")
 		}
 	}
-	return 0, errors.New("changes: no VmHWM")
+	return 0, errors.New("changes: process status has no line VmHWM")
 }
 
-// status adds the bytes that the daemon itself counts.
-func (u *usage) status(ctx context.Context, d Daemon) error {
+// readStatus adds the counters that the daemon reports in its status.
+func (u *usage) readStatus(ctx context.Context, d Daemon) error {
 	raw, err := get(ctx, "http://"+d.Operators.String()+"/statusz")
 	if err != nil {
 		return err
@@ -90,53 +90,53 @@
 		} `json:"rates"`
 	}
 	if err := json.Unmarshal(raw, &status); err != nil {
-		return errors.Wrap(err, "changes: status")
+		return errors.Wrap(err, "changes: decode status")
 	}
-	u.sent, u.received, u.links = status.Sent, status.Received, status.Links
+	u.sent, u.received, u.connections = status.Sent, status.Received, status.Links
 	u.listBytes = status.Messages["digest"].Sent + status.Messages["fetch"].Sent
 	u.leaseBytes = status.Messages["lease"].Sent + status.Messages["confirm"].Sent + status.Messages["handover"].Sent
-	u.asks, u.waits = status.Rates.Asks, status.Rates.Waits
+	u.leaseRequests, u.tokenWaits = status.Rates.Asks, status.Rates.Waits
 	return nil
 }
 
 func get(ctx context.Context, url string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "changes")
+		return nil, errors.Wrap(err, "changes: build request")
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "changes")
+		return nil, errors.Wrap(err, "changes: send request")
 	}
 	defer func() { _ = res.Body.Close() }()
 	raw, err := io.ReadAll(res.Body)
-	return raw, errors.Wrap(err, "changes")
+	return raw, errors.Wrap(err, "changes: read response")
 }
 
-// Spent is what daemons spent in one part of the measurement, as median and greatest over the daemons.
-type Spent struct {
-	// CPU is in per cent of a core.
+// ResourceUse is what the daemons used in one phase of the measurement, as median and maximum over the daemons.
+type ResourceUse struct {
+	// CPU is the percentage of one core.
 	CPU Range `json:"cpuPercent"`
-	// Sent and Received are bytes a second between peers, without TCP's own.
+	// Sent and Received are bytes per second between peers, without the overhead of TCP.
 	Sent     Range `json:"sentBytesPerS"`
 	Received Range `json:"receivedBytesPerS"`
-	// ListBytes and LeaseBytes are the parts of Sent for lists and membership, and for rates over the fleet.
+	// ListBytes and LeaseBytes are the portions of Sent for lists and membership, and for rates.
 	ListBytes  Range `json:"listBytesPerS"`
 	LeaseBytes Range `json:"leaseBytesPerS"`
-	// Asks are questions to homes a second.
-	Asks Range `json:"leaseAsksPerS"`
-	// Waits are requests a second that found no token in stock.
+	// LeaseRequests is the number of lease requests to homes per second.
+	LeaseRequests Range `json:"leaseAsksPerS"`
+	// Waits is the number of requests per second that found no token in stock.
 	Waits Range `json:"waitsPerS"`
-	// Resident is in megabytes at the end of the part.
+	// Resident is the resident memory in megabytes at the end of the phase.
 	Resident Range `json:"residentMB"`
-	// Peak is the most since the process began, in megabytes.
-	Peak  Range `json:"peakMB"`
-	Links Range `json:"peerConnections"`
-	// PlatformCalls is calls a second of all daemons together, a waiting watch as one.
+	// Peak is the highest resident memory since the process started, in megabytes.
+	Peak        Range `json:"peakMB"`
+	Connections Range `json:"peerConnections"`
+	// PlatformCalls is the requests per second of all daemons to the configuration store; a pending watch counts as one.
 	PlatformCalls float64 `json:"platformCallsPerS"`
 }
 
-// Range is the median and the greatest of a set of values.
+// Range is the median and the maximum of a set of values.
 type Range struct {
 	Median float64 `json:"median"`
 	Max    float64 `json:"max"`
@@ -150,24 +150,24 @@
 	return Range{Median: values[len(values)/2], Max: values[len(values)-1]}
 }
 
-func spent(before, after []usage) Spent {
+func usageBetween(before, after []usage) ResourceUse {
 	var cpu, sent, received, listBytes, leaseBytes, resident, peaks, links, asks, waits []float64
 	for i := range before {
-		length := after[i].at.Sub(before[i].at).Seconds()
+		length := after[i].takenAt.Sub(before[i].takenAt).Seconds()
 		cpu = append(cpu, 100*(after[i].cpu-before[i].cpu).Seconds()/length)
 		sent = append(sent, float64(after[i].sent-before[i].sent)/length)
 		received = append(received, float64(after[i].received-before[i].received)/length)
 		listBytes = append(listBytes, float64(after[i].listBytes-before[i].listBytes)/length)
 		leaseBytes = append(leaseBytes, float64(after[i].leaseBytes-before[i].leaseBytes)/length)
-		asks = append(asks, float64(after[i].asks-before[i].asks)/length)
-		waits = append(waits, float64(after[i].waits-before[i].waits)/length)
-		resident = append(resident, float64(after[i].resident)/(1<<20))
-		peaks = append(peaks, float64(after[i].peak)/(1<<20))
-		links = append(links, float64(after[i].links))
+		asks = append(asks, float64(after[i].leaseRequests-before[i].leaseRequests)/length)
+		waits = append(waits, float64(after[i].tokenWaits-before[i].tokenWaits)/length)
+		resident = append(resident, float64(after[i].residentMemory)/(1<<20))
+		peaks = append(peaks, float64(after[i].peakMemory)/(1<<20))
+		links = append(links, float64(after[i].connections))
 	}
-	return Spent{
+	return ResourceUse{
 		CPU: rangeOf(cpu), Sent: rangeOf(sent), Received: rangeOf(received), Resident: rangeOf(resident),
 		ListBytes: rangeOf(listBytes), LeaseBytes: rangeOf(leaseBytes),
-		Peak: rangeOf(peaks), Links: rangeOf(links), Asks: rangeOf(asks), Waits: rangeOf(waits),
+		Peak: rangeOf(peaks), Connections: rangeOf(links), LeaseRequests: rangeOf(asks), Waits: rangeOf(waits),
 	}
 }
--- a/internal/load/latency/doc.go
+++ b/internal/load/latency/doc.go
@@ -1,2 +1,2 @@
-// Package latency measures several ways to the same upstream side by side.
+// Package latency compares the latencies of several ways to the same upstream, measured concurrently.
 package latency
--- a/internal/load/latency/failure.go
+++ b/internal/load/latency/failure.go
@@ -12,24 +12,25 @@
 	"github.com/pkg/errors"
 )
 
-// mostRefusal bounds how much of a refused request's answer is read.
-const mostRefusal = 4 << 10
+// maxFailureBody limits how many bytes of a failed request's response are read.
+const maxFailureBody = 4 << 10
 
-// refused names why a request got an answer that is not whole: the daemon's outcome and reason, or the status of another's answer.
-func refused(res *http.Response) string {
+// responseFailure returns the reason of an unsuccessful response: the daemon's outcome and reason, or the status if the
+// response isn't the daemon's.
+func responseFailure(res *http.Response) string {
 	var body struct {
 		Outcome string `json:"outcome"`
 		Reason  string `json:"reason"`
 	}
-	err := json.NewDecoder(io.LimitReader(res.Body, mostRefusal)).Decode(&body)
+	err := json.NewDecoder(io.LimitReader(res.Body, maxFailureBody)).Decode(&body)
 	if err != nil || body.Outcome == "" {
 		return fmt.Sprintf("status %d", res.StatusCode)
 	}
 	return body.Outcome + " " + body.Reason
 }
 
-// broken names why a request got no answer.
-func broken(err error) string {
+// transportFailure returns the reason why a request got no complete response.
+func transportFailure(err error) string {
 	var timeout net.Error
 	var op *net.OpError
 	switch {
--- a/internal/load/latency/run.go
+++ b/internal/load/latency/run.go
@@ -12,13 +12,13 @@
 	"github.com/pkg/errors"
 )
 
-// Way is one way to the upstream.
+// Way is one way to reach the upstream, such as directly or through a daemon.
 type Way struct {
 	Name string
 	URL  string
 }
 
-// Plan is one measurement; each way gets the whole rate.
+// Plan describes a measurement; each way gets the whole rate.
 type Plan struct {
 	Ways   []Way
 	Key    string
@@ -27,7 +27,7 @@
 	WarmUp time.Duration
 }
 
-// Result is what one way took, in milliseconds, and what it added to the first way.
+// Result holds the latencies of one way in milliseconds, and what it adds to the first way's.
 type Result struct {
 	Way        string           `json:"way"`
 	Whole      int64            `json:"whole"`
@@ -39,48 +39,48 @@
 	AddedP99Ms float64          `json:"addedP99Ms"`
 }
 
-type lane struct {
+type wayRun struct {
 	way    Way
 	client *http.Client
 
-	mu       sync.Mutex
-	times    *hdrhistogram.Histogram
-	failures map[string]int64
+	mu        sync.Mutex
+	latencies *hdrhistogram.Histogram
+	failures  map[string]int64
 }
 
 const (
-	slowest = int64(10 * time.Second / time.Microsecond)
-	digits  = 3
-	conns   = 512
-	timeout = 10 * time.Second
-	// beat is how often requests are sent; those due since the last beat go out together.
-	beat = time.Millisecond
+	maxLatencyMicros   = int64(10 * time.Second / time.Microsecond)
+	significantDigits  = 3
+	maxIdleConnections = 512
+	requestTimeout     = 10 * time.Second
+	// sendInterval is the time between batches: requests that fell due since the last one are sent together.
+	sendInterval = time.Millisecond
 )
 
-// Run sends the plan's requests at a steady rate, whatever comes back; the ways take turns within each beat.
-// All of them are sent, also those that were due while the process stood still.
+// Run sends the plan's requests at a constant rate, independent of the responses; the order of the ways rotates from request
+// to request. It also sends those that fell due while the process was not running.
 func Run(ctx context.Context, p Plan) ([]Result, error) {
 	if len(p.Ways) == 0 || p.Rate <= 0 || p.Length <= 0 {
-		return nil, errors.New("latency: needs ways, a rate and a length")
+		return nil, errors.New("latency: plan must have ways, and a rate and a length above 0")
 	}
-	var lanes []*lane
-	for _, w := range p.Ways {
-		lanes = append(lanes, &lane{
-			way:      w,
-			client:   &http.Client{Timeout: timeout, Transport: &http.Transport{MaxIdleConnsPerHost: conns}},
-			times:    hdrhistogram.New(1, slowest, digits),
-			failures: map[string]int64{},
+	var wayRuns []*wayRun
+	for _, way := range p.Ways {
+		wayRuns = append(wayRuns, &wayRun{
+			way:       way,
+			client:    &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}},
+			latencies: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+			failures:  map[string]int64{},
 		})
 	}
-	send(ctx, p, lanes)
-	return results(lanes), nil
+	send(ctx, p, wayRuns)
+	return results(wayRuns), nil
 }
 
-func send(ctx context.Context, p Plan, lanes []*lane) {
+func send(ctx context.Context, p Plan, wayRuns []*wayRun) {
 	var sending sync.WaitGroup
 	defer sending.Wait()
-	begun := time.Now()
-	tick := time.NewTicker(beat)
+	start := time.Now()
+	tick := time.NewTicker(sendInterval)
 	defer tick.Stop()
 	total := int((p.WarmUp + p.Length).Seconds() * float64(p.Rate))
 	for sent := 0; sent < total; {
@@ -88,67 +88,67 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			counts := now.Sub(begun) > p.WarmUp
-			for due := min(int(now.Sub(begun).Seconds()*float64(p.Rate)), total); sent < due; sent++ {
-				for i := range lanes {
-					l := lanes[(sent+i)%len(lanes)]
-					sending.Go(func() { l.request(p.Key, counts) })
+			measured := now.Sub(start) > p.WarmUp
+			for due := min(int(now.Sub(start).Seconds()*float64(p.Rate)), total); sent < due; sent++ {
+				for i := range wayRuns {
+					w := wayRuns[(sent+i)%len(wayRuns)]
+					sending.Go(func() { w.request(p.Key, measured) })
 				}
 			}
 		}
 	}
 }
 
-func (l *lane) request(key string, counts bool) {
-	req, err := http.NewRequest(http.MethodPost, l.way.URL, strings.NewReader("vehicle"))
+func (w *wayRun) request(key string, measured bool) {
+	req, err := http.NewRequest(http.MethodPost, w.way.URL, strings.NewReader("vehicle"))
 	if err != nil {
-		l.fail(broken(err))
+		w.countFailure(transportFailure(err))
 		return
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
-	begun := time.Now()
-	res, err := l.client.Do(req)
+	start := time.Now()
+	res, err := w.client.Do(req)
 	if err != nil {
-		l.fail(broken(err))
+		w.countFailure(transportFailure(err))
 		return
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		l.fail(refused(res))
+		w.countFailure(responseFailure(res))
 		return
 	}
 	_, err = io.Copy(io.Discard, res.Body)
-	took := time.Since(begun)
+	elapsed := time.Since(start)
 	if err != nil {
-		l.fail(broken(err))
+		w.countFailure(transportFailure(err))
 		return
 	}
-	if counts {
-		l.mu.Lock()
-		_ = l.times.RecordValue(max(took.Microseconds(), 1))
-		l.mu.Unlock()
+	if measured {
+		w.mu.Lock()
+		_ = w.latencies.RecordValue(max(elapsed.Microseconds(), 1))
+		w.mu.Unlock()
 	}
 }
 
-func (l *lane) fail(why string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.failures[why]++
+func (w *wayRun) countFailure(reason string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.failures[reason]++
 }
 
-func (l *lane) failed() int64 {
+func (w *wayRun) failed() int64 {
 	total := int64(0)
-	for _, count := range l.failures {
+	for _, count := range w.failures {
 		total += count
 	}
 	return total
 }
 
-func results(lanes []*lane) []Result {
+func results(wayRuns []*wayRun) []Result {
 	var all []Result
-	for _, l := range lanes {
+	for _, w := range wayRuns {
 		r := Result{
-			Way: l.way.Name, Whole: l.times.TotalCount(), Failed: l.failed(), Failures: l.failures, P50Ms: l.at(50), P99Ms: l.at(99),
+			Way: w.way.Name, Whole: w.latencies.TotalCount(), Failed: w.failed(), Failures: w.failures, P50Ms: w.quantileMs(50), P99Ms: w.quantileMs(99),
 		}
 		if len(all) > 0 {
 			r.AddedP50Ms, r.AddedP99Ms = r.P50Ms-all[0].P50Ms, r.P99Ms-all[0].P99Ms
@@ -158,6 +158,6 @@
 	return all
 }
 
-func (l *lane) at(quantile float64) float64 {
-	return float64(l.times.ValueAtQuantile(quantile)) / 1000
+func (w *wayRun) quantileMs(quantile float64) float64 {
+	return float64(w.latencies.ValueAtQuantile(quantile)) / 1000
 }
--- a/internal/load/latency/run_test.go
+++ b/internal/load/latency/run_test.go
@@ -16,7 +16,7 @@
 	t.Cleanup(slow.Close)
 	quick := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	t.Cleanup(quick.Close)
-	Convey("What a way adds is told against the first", t, func() {
+	Convey("The added latency of a way is relative to the first way", t, func() {
 		results, err := Run(t.Context(), Plan{
 			Ways: []Way{{"quick", quick.URL}, {"slow", slow.URL}}, Rate: 50, Length: 300 * time.Millisecond,
 		})
@@ -33,10 +33,9 @@
 	})
 }
 
-func TestFailuresAreTold(t *testing.T) {
-	// Some hundred calls of a measurement fail. As a mere number that says
-	// neither whether they were refused nor by whom, and the cause stays unknown.
-	answers := func(status int, body string) http.HandlerFunc {
+func TestFailuresAreCountedByReason(t *testing.T) {
+	// Guards against failures reported as a mere number, which shows neither the reason of a refusal nor who refused.
+	respond := func(status int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(status)
 			_, _ = w.Write([]byte(body))
@@ -47,10 +46,10 @@
 		handler http.HandlerFunc
 		want    string
 	}{
-		{"a refusal", answers(http.StatusServiceUnavailable, `{"outcome":"notRun","reason":"overloaded"}`), "notRun overloaded"},
-		{"an upstream's answer", answers(http.StatusBadGateway, "no"), "status 502"},
-		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, "connection closed"},
-		{"half an answer", func(w http.ResponseWriter, _ *http.Request) {
+		{"a refusal by the daemon", respond(http.StatusServiceUnavailable, `{"outcome":"notRun","reason":"overloaded"}`), "notRun overloaded"},
+		{"an upstream's error response", respond(http.StatusBadGateway, "no"), "status 502"},
+		{"no response", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, "connection closed"},
+		{"a truncated response", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
 			_, _ = w.Write([]byte("half"))
 		}, "connection closed"},
@@ -67,9 +66,9 @@
 			})
 		}
 	})
-	Convey("A port on which nobody listens", t, func() {
-		nobody := "http://" + loopback.Address().String()
-		results, err := Run(t.Context(), Plan{Ways: []Way{{"way", nobody}}, Rate: 50, Length: 100 * time.Millisecond})
+	Convey("A closed port counts as a refused connection", t, func() {
+		closedPort := "http://" + loopback.Address().String()
+		results, err := Run(t.Context(), Plan{Ways: []Way{{"way", closedPort}}, Rate: 50, Length: 100 * time.Millisecond})
 		So(err, ShouldBeNil)
 		So(results[0].Failures, ShouldResemble, map[string]int64{"connection refused": results[0].Failed})
 	})
--- a/internal/load/traffic/doc.go
+++ b/internal/load/traffic/doc.go
@@ -1,2 +1,2 @@
-// Package traffic drives mixed requests at a fleet and checks every answer.
+// Package traffic sends mixed requests to a fleet and checks every response.
 package traffic
--- a/internal/load/traffic/plan.go
+++ b/internal/load/traffic/plan.go
@@ -13,14 +13,14 @@
 // Duration is a time.Duration that is written as text in a plan, such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads the duration; the error is that of time.ParseDuration.
+// UnmarshalText parses the duration; the error is that of time.ParseDuration.
 func (d *Duration) UnmarshalText(raw []byte) error {
 	parsed, err := time.ParseDuration(string(raw))
 	*d = Duration(parsed)
 	return err
 }
 
-// Stream is the requests of one organisation to one operation, sent at a steady rate whatever comes back.
+// Stream describes the requests of one organisation to one operation, sent at a constant rate independent of the responses.
 type Stream struct {
 	Organisation string   `json:"organisation"`
 	Key          string   `json:"key"`
@@ -29,24 +29,24 @@
 	Rate         float64  `json:"rate"`
 	BodyBytes    int      `json:"bodyBytes"`
 	Timeout      Duration `json:"timeout"`
-	// WithinRate marks a stream that stays inside its organisation's rate, so that a refusal of it is wrongful.
+	// WithinRate marks a stream within its organisation's rate, so that a refusal is wrongful.
 	WithinRate bool `json:"withinRate"`
-	// Measured marks a stream whose added latency counts, until QuietUntil.
+	// Measured marks a stream whose added latency is measured, until QuietUntil.
 	Measured bool `json:"measured"`
 }
 
-// Event is one HTTP request of an operator at a time after the start.
+// Event is an operator's HTTP request, sent at a given time after the start.
 type Event struct {
 	At     Duration `json:"at"`
 	Note   string   `json:"note"`
 	Method string   `json:"method"`
 	URL    string   `json:"url"`
 	File   string   `json:"file"`
-	// Withdraws names the organisation whose key this event takes away.
+	// Withdraws names the organisation whose key this event withdraws.
 	Withdraws string `json:"withdraws"`
 }
 
-// Plan is a whole run.
+// Plan describes a whole run.
 type Plan struct {
 	Daemons    []netip.AddrPort `json:"daemons"`
 	Length     Duration         `json:"length"`
@@ -65,10 +65,10 @@
 	dec.DisallowUnknownFields()
 	plan := &Plan{}
 	if err := dec.Decode(plan); err != nil {
-		return nil, errors.Wrapf(err, "traffic: plan %s", path)
+		return nil, errors.Wrapf(err, "traffic: decode plan %s", path)
 	}
 	if len(plan.Daemons) == 0 || len(plan.Streams) == 0 || plan.Length <= 0 {
-		return nil, errors.Errorf("traffic: plan %s needs daemons, streams and a length", path)
+		return nil, errors.Errorf("traffic: plan %s must have daemons, streams and a length above 0", path)
 	}
 	for i, s := range plan.Streams {
 		if s.Rate <= 0 {
--- a/internal/load/traffic/report.go
+++ b/internal/load/traffic/report.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// Report is a run on paper.
+// Report holds what is written about a run.
 type Report struct {
 	Plan    *Plan
 	Result  Result
@@ -26,7 +26,8 @@
 	secondsFile = "seconds.csv"
 )
 
-// Save writes report.md and seconds.csv into the folder, which it makes if need be; the error names what could not be written.
+// Save writes report.md and seconds.csv into the folder, which it creates if necessary; the error names the file or folder
+// that could not be written.
 func (r *Report) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return errors.Wrap(err, "traffic: report")
@@ -70,35 +71,35 @@
 
 func (r *Report) markdown(out io.Writer) error {
 	var page strings.Builder
-	t := r.Result
+	result := r.Result
 	fmt.Fprintf(&page, "# Run of %s\n\n", time.Duration(r.Plan.Length))
-	fmt.Fprintf(&page, "%d daemons, %d streams. Sent %d: %d whole, %d refused, %d unknown. ", len(r.Plan.Daemons), len(r.Plan.Streams), t.Sent, t.Whole, t.Refused, t.Unknown)
-	fmt.Fprintf(&page, "Refused within the rate: %d. Whole more than 3 s after a withdrawal: %d. ", t.WrongfulRefusals, t.AfterWithdrawal)
-	fmt.Fprintf(&page, "Added latency in the quiet part: p50 %.3f ms, p99 %.3f ms.\n\n", t.AddedP50Ms, t.AddedP99Ms)
+	fmt.Fprintf(&page, "%d daemons, %d streams. Sent %d: %d whole, %d refused, %d unknown. ", len(r.Plan.Daemons), len(r.Plan.Streams), result.Sent, result.Whole, result.Refused, result.Unknown)
+	fmt.Fprintf(&page, "Refused within the rate: %d. Whole more than 3 s after a withdrawal: %d. ", result.WrongfulRefusals, result.AfterWithdrawal)
+	fmt.Fprintf(&page, "Added latency in the quiet part: p50 %.3f ms, p99 %.3f ms.\n\n", result.AddedP50Ms, result.AddedP99Ms)
 	page.WriteString("Latency is that of whole answers as callers saw it, in ms, by the second in which the request was sent.\n\n")
 	page.WriteString("| s | sent | whole | refused | unknown | p50 | p90 | p99 | max | whole, drawn | events |\n")
 	page.WriteString("| --: | --: | --: | --: | --: | --: | --: | --: | --: | --- | --- |\n")
-	most := 1
+	maxWhole := 1
 	for _, s := range r.Seconds {
-		most = max(most, s.Whole)
+		maxWhole = max(maxWhole, s.Whole)
 	}
 	for _, s := range r.Seconds {
 		fmt.Fprintf(&page, "| %d | %d | %d | %d | %d | %s | %s | %s | %s | `%s` | %s |\n", s.At, s.Sent, s.Whole, s.Refused, s.Unknown,
-			millis(s.P50), millis(s.P90), millis(s.P99), millis(s.Max), strings.Repeat("#", s.Whole*barWidth/most), r.notes(s.At))
+			millis(s.P50), millis(s.P90), millis(s.P99), millis(s.Max), strings.Repeat("#", s.Whole*barWidth/maxWhole), r.notes(s.At))
 	}
 	_, err := io.WriteString(out, page.String())
 	return err
 }
 
-// notes returns what operators did in a second of the run.
+// notes returns the notes of the events in the given second.
 func (r *Report) notes(second int) string {
-	var all []string
+	var notes []string
 	for _, e := range r.Plan.Events {
 		if int(time.Duration(e.At)/time.Second) == second {
-			all = append(all, e.Note)
+			notes = append(notes, e.Note)
 		}
 	}
-	return strings.Join(all, "; ")
+	return strings.Join(notes, "; ")
 }
 
 func millis(d time.Duration) string {
--- a/internal/load/traffic/report_test.go
+++ b/internal/load/traffic/report_test.go
@@ -11,10 +11,10 @@
 )
 
 func TestReport(t *testing.T) {
-	Convey("Answers are sorted by the second in which their requests were sent", t, func() {
-		begun := time.Now()
-		r := &Runner{timeline: timeline{begun: begun}}
-		add := func(at, took time.Duration, outcome string) { r.timeline.add(begun.Add(at), outcome, took) }
+	Convey("Responses are grouped by the second in which their requests were sent", t, func() {
+		start := time.Now()
+		r := &Runner{timeline: timeline{start: start}}
+		add := func(at, took time.Duration, outcome string) { r.timeline.add(start.Add(at), outcome, took) }
 		add(100*time.Millisecond, 3*time.Millisecond, "whole")
 		add(200*time.Millisecond, 5*time.Second, "whole")
 		add(2500*time.Millisecond, time.Millisecond, "notRun")
@@ -22,12 +22,12 @@
 		seconds := r.Timeline()
 		So(seconds, ShouldHaveLength, 3)
 		So(seconds[0].Whole, ShouldEqual, 2)
-		So(seconds[0].P50, ShouldBeBetween, 2999*time.Microsecond, 3010*time.Microsecond) // three digits are kept.
+		So(seconds[0].P50, ShouldBeBetween, 2999*time.Microsecond, 3010*time.Microsecond) // The histogram keeps three significant digits.
 		So(seconds[0].Max, ShouldBeGreaterThan, 4900*time.Millisecond)
 		So(seconds[1], ShouldResemble, Second{At: 1})
 		So([]int{seconds[2].Sent, seconds[2].Refused, seconds[2].Unknown}, ShouldResemble, []int{2, 1, 1})
 
-		Convey("and are written as a page and a table, with what operators did", func() {
+		Convey("and written as a page and a table, with the operators' events", func() {
 			plan := &Plan{Length: Duration(3 * time.Second), Events: []Event{{At: Duration(time.Second), Note: "key withdrawn"}}}
 			dir := filepath.Join(t.TempDir(), "new")
 			report := Report{Plan: plan, Result: Result{Sent: 4, Whole: 2, Refused: 1, Unknown: 1}, Seconds: seconds}
@@ -42,7 +42,7 @@
 			So(strings.Count(string(table), "\n"), ShouldEqual, 4)
 		})
 	})
-	Convey("A folder that can't be made is an error", t, func() {
+	Convey("Saving to a folder that can't be created is an error", t, func() {
 		So((&Report{Plan: &Plan{}}).Save("/dev/null/x"), ShouldNotBeNil)
 	})
 }
--- a/internal/load/traffic/run.go
+++ b/internal/load/traffic/run.go
@@ -21,13 +21,13 @@
 	wire "github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// Runner drives one plan.
+// Runner runs one plan.
 type Runner struct {
 	plan     *Plan
 	client   *http.Client
 	tally    *tally
 	progress io.Writer
-	begun    time.Time
+	start    time.Time
 	timeline timeline
 
 	mu        sync.Mutex
@@ -35,56 +35,56 @@
 }
 
 const (
-	clientConns = 512
-	// withdrawalGrace is how long a withdrawn key may go on working.
-	withdrawalGrace = 3 * time.Second
-	defaultTimeout  = 5 * time.Second
-	clientSlack     = 2 * time.Second
+	maxIdleConnections = 512
+	// withdrawalGrace is how long a withdrawn key may still be accepted.
+	withdrawalGrace     = 3 * time.Second
+	defaultTimeout      = 5 * time.Second
+	clientTimeoutMargin = 2 * time.Second
 )
 
 // NewRunner returns a runner that writes its progress as text.
 func NewRunner(plan *Plan, progress io.Writer) *Runner {
 	return &Runner{
 		plan:      plan,
-		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clientConns}},
+		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}},
 		tally:     newTally(),
 		progress:  progress,
 		withdrawn: map[string]time.Time{},
 	}
 }
 
-// Run sends the plan's traffic and returns its result; the error tells of wrong or crossed answers.
+// Run sends the plan's traffic and returns its result; the error lists responses that are wrong or belong to other requests.
 func (r *Runner) Run(ctx context.Context) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.plan.Length))
 	defer cancel()
-	r.begun = time.Now()
-	r.timeline.begun = r.begun
-	var streams, side sync.WaitGroup
+	r.start = time.Now()
+	r.timeline.start = r.start
+	var streams, background sync.WaitGroup
 	for i := range r.plan.Streams {
-		streams.Go(func() { r.stream(ctx, &r.plan.Streams[i]) })
+		streams.Go(func() { r.runStream(ctx, &r.plan.Streams[i]) })
 	}
-	side.Go(func() { r.events(ctx) })
-	side.Go(func() { r.report(ctx) })
+	background.Go(func() { r.runEvents(ctx) })
+	background.Go(func() { r.writeProgress(ctx) })
 	streams.Wait()
-	side.Wait()
-	return r.verdict()
+	background.Wait()
+	return r.finalResult()
 }
 
-func (r *Runner) verdict() (Result, error) {
+func (r *Runner) finalResult() (Result, error) {
 	result := r.tally.snapshot()
-	for what, count := range r.tally.reasons {
-		fmt.Fprintf(r.progress, "  %-40s %d\n", what, count)
+	for reason, count := range r.tally.reasons {
+		fmt.Fprintf(r.progress, "  %-40s %d\n", reason, count)
 	}
 	if sum := result.Whole + result.Refused + result.Unknown; sum != result.Sent {
 		return result, errors.Errorf("traffic: sent %d, but whole + refused + unknown is %d", result.Sent, sum)
 	}
-	if len(r.tally.wrong) > 0 {
-		return result, errors.Errorf("traffic: wrong answers: %s", strings.Join(r.tally.wrong, "; "))
+	if len(r.tally.violations) > 0 {
+		return result, errors.Errorf("traffic: wrong responses: %s", strings.Join(r.tally.violations, "; "))
 	}
 	return result, nil
 }
 
-func (r *Runner) stream(ctx context.Context, s *Stream) {
+func (r *Runner) runStream(ctx context.Context, s *Stream) {
 	tick := time.NewTicker(time.Duration(float64(time.Second) / s.Rate))
 	defer tick.Stop()
 	var sending sync.WaitGroup
@@ -106,18 +106,18 @@
 	if timeout == 0 {
 		timeout = defaultTimeout
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), timeout+clientSlack)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout+clientTimeoutMargin)
 	defer cancel()
-	r.tally.do(func(t *Result) { t.Sent++ })
+	r.tally.update(func(t *Result) { t.Sent++ })
 	sent := time.Now()
 	res, body, err := r.request(ctx, s, nonce, timeout)
 	r.timeline.add(sent, outcomeOf(res, err), time.Since(sent))
 	if err != nil {
-		r.tally.do(func(t *Result) { t.Unknown++ })
-		r.tally.reason(s.Organisation, "transport")
+		r.tally.update(func(t *Result) { t.Unknown++ })
+		r.tally.countReason(s.Organisation, "transport")
 		return
 	}
-	r.judge(s, nonce, sent, res, body)
+	r.checkResponse(s, nonce, sent, res, body)
 }
 
 func (r *Runner) request(ctx context.Context, s *Stream, nonce string, timeout time.Duration) (*http.Response, []byte, error) {
@@ -137,55 +137,55 @@
 	return res, body, err
 }
 
-func (r *Runner) judge(s *Stream, nonce string, sent time.Time, res *http.Response, body []byte) {
+func (r *Runner) checkResponse(s *Stream, nonce string, sent time.Time, res *http.Response, body []byte) {
 	switch res.Header.Get(wire.HeaderOutcome) {
 	case call.Whole.String():
-		r.tally.do(func(t *Result) { t.Whole++ })
-		r.judgeWhole(s, nonce, sent, res, body)
+		r.tally.update(func(t *Result) { t.Whole++ })
+		r.checkWhole(s, nonce, sent, res, body)
 	case call.NotRun.String():
-		r.tally.do(func(t *Result) { t.Refused++ })
-		r.judgeRefusal(s, body)
+		r.tally.update(func(t *Result) { t.Refused++ })
+		r.checkRefusal(s, body)
 	case call.Unknown.String():
-		r.tally.do(func(t *Result) { t.Unknown++ })
-		r.tally.reason(s.Organisation, "unknown")
+		r.tally.update(func(t *Result) { t.Unknown++ })
+		r.tally.countReason(s.Organisation, "unknown")
 	default:
-		r.tally.do(func(t *Result) { t.Unknown++ })
-		r.tally.fault(fmt.Sprintf("%s: status %d without an outcome", s.Organisation, res.StatusCode))
+		r.tally.update(func(t *Result) { t.Unknown++ })
+		r.tally.recordViolation(fmt.Sprintf("%s: response with status %d names no known outcome", s.Organisation, res.StatusCode))
 	}
 }
 
-func (r *Runner) judgeWhole(s *Stream, nonce string, sent time.Time, res *http.Response, body []byte) {
+func (r *Runner) checkWhole(s *Stream, nonce string, sent time.Time, res *http.Response, body []byte) {
 	elapsed := time.Since(sent)
-	if since, ok := r.withdrawal(s.Organisation); ok && sent.Sub(since) > withdrawalGrace {
-		r.tally.do(func(t *Result) { t.AfterWithdrawal++ })
+	if withdrawnAt, ok := r.withdrawal(s.Organisation); ok && sent.Sub(withdrawnAt) > withdrawalGrace {
+		r.tally.update(func(t *Result) { t.AfterWithdrawal++ })
 	}
 	if res.StatusCode != http.StatusOK {
-		r.tally.reason(s.Organisation, fmt.Sprintf("status %d", res.StatusCode))
+		r.tally.countReason(s.Organisation, fmt.Sprintf("status %d", res.StatusCode))
 		return
 	}
 	var answer upstream.Answer
 	if err := json.Unmarshal(body, &answer); err != nil {
-		r.tally.fault(fmt.Sprintf("%s: answer is not whole: %v", s.Organisation, err))
+		r.tally.recordViolation(fmt.Sprintf("%s: response stated as whole is not valid JSON: %v", s.Organisation, err))
 		return
 	}
 	if answer.Echo != nonce || answer.Organisation != s.Organisation || answer.LeakedKey {
-		r.tally.fault(fmt.Sprintf("%s: crossed answer or leaked key: %.80s", s.Organisation, body))
+		r.tally.recordViolation(fmt.Sprintf("%s: response belongs to another request, or the key reached the upstream: %.80s", s.Organisation, body))
 	}
 	micros, err := strconv.ParseInt(res.Header.Get(upstream.HeaderServiceTime), 10, 64)
-	if err == nil && s.Measured && time.Since(r.begun) < time.Duration(r.plan.QuietUntil) {
+	if err == nil && s.Measured && time.Since(r.start) < time.Duration(r.plan.QuietUntil) {
 		r.tally.addLatency(elapsed - time.Duration(micros)*time.Microsecond)
 	}
 }
 
-func (r *Runner) judgeRefusal(s *Stream, body []byte) {
+func (r *Runner) checkRefusal(s *Stream, body []byte) {
 	var refusal struct {
 		Reason string `json:"reason"`
 	}
 	_ = json.Unmarshal(body, &refusal)
-	r.tally.reason(s.Organisation, refusal.Reason)
+	r.tally.countReason(s.Organisation, refusal.Reason)
 	_, withdrawn := r.withdrawal(s.Organisation)
 	if s.WithinRate && !(withdrawn && refusal.Reason == call.UnknownKey.String()) {
-		r.tally.do(func(t *Result) { t.WrongfulRefusals++ })
+		r.tally.update(func(t *Result) { t.WrongfulRefusals++ })
 	}
 }
 
@@ -196,16 +196,16 @@
 	return t, ok
 }
 
-func (r *Runner) events(ctx context.Context) {
+func (r *Runner) runEvents(ctx context.Context) {
 	for _, e := range r.plan.Events {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(r.begun.Add(time.Duration(e.At)))):
+		case <-time.After(time.Until(r.start.Add(time.Duration(e.At)))):
 		}
 		fmt.Fprintf(r.progress, "  %5s  %s\n", time.Duration(e.At), e.Note)
 		if err := Act(ctx, e.Method, e.URL, e.File); err != nil {
-			r.tally.fault(fmt.Sprintf("event %q: %v", e.Note, err))
+			r.tally.recordViolation(fmt.Sprintf("event %q: %v", e.Note, err))
 		}
 		if e.Withdraws != "" {
 			r.mu.Lock()
@@ -215,24 +215,24 @@
 	}
 }
 
-const reportEvery = 3 * time.Second
+const progressInterval = 3 * time.Second
 
-func (r *Runner) report(ctx context.Context) {
-	tick := time.NewTicker(reportEvery)
+func (r *Runner) writeProgress(ctx context.Context) {
+	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			t := r.tally.snapshot()
+			result := r.tally.snapshot()
 			fmt.Fprintf(r.progress, "  %5s  sent %d, whole %d, refused %d, unknown %d\n",
-				time.Since(r.begun).Round(time.Second), t.Sent, t.Whole, t.Refused, t.Unknown)
+				time.Since(r.start).Round(time.Second), result.Sent, result.Whole, result.Refused, result.Unknown)
 		}
 	}
 }
 
-// Act sends one request of an operator, with a file as its body if one is named; any status but 200 is an error.
+// Act sends one operator's request, with a file as its body if one is named; any status but 200 is an error.
 func Act(ctx context.Context, method, url, file string) error {
 	var raw []byte
 	if file != "" {
@@ -248,22 +248,23 @@
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "traffic")
+		return errors.Wrap(err, "traffic: send request")
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return errors.Errorf("traffic: %s %s: status %d", method, url, res.StatusCode)
+		return errors.Errorf("traffic: %s %s: status %d, expected 200", method, url, res.StatusCode)
 	}
 	return nil
 }
 
-// AwaitReady waits until every address answers /healthz with 200; the error names one that did not before ctx ended.
+// AwaitReady waits until every address responds to /healthz with 200; the error names the first that did not before ctx
+// ended.
 func AwaitReady(ctx context.Context, operators []netip.AddrPort) error {
-	for _, o := range operators {
-		for Act(ctx, http.MethodGet, "http://"+o.String()+"/healthz", "") != nil {
+	for _, address := range operators {
+		for Act(ctx, http.MethodGet, "http://"+address.String()+"/healthz", "") != nil {
 			select {
 			case <-ctx.Done():
-				return errors.Errorf("traffic: %s is not ready", o)
+				return errors.Errorf("traffic: %s did not respond to /healthz with status 200 in time", address)
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
--- a/internal/load/traffic/tally.go
+++ b/internal/load/traffic/tally.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is the one line that a run ends with; sent = whole + refused + unknown.
+// Result holds the totals of a run; Sent = Whole + Refused + Unknown.
 type Result struct {
 	Sent             int     `json:"sent"`
 	Whole            int     `json:"whole"`
@@ -19,32 +19,32 @@
 	AddedP99Ms       float64 `json:"addedP99Ms"`
 }
 
-// tally adds up what callers saw.
+// tally collects the results of all requests.
 type tally struct {
-	mu      sync.Mutex
-	result  Result
-	wrong   []string
-	reasons map[string]int
-	added   *hdrhistogram.Histogram
+	mu           sync.Mutex
+	result       Result
+	violations   []string
+	reasons      map[string]int
+	addedLatency *hdrhistogram.Histogram
 }
 
 const (
-	slowest   = int64(time.Minute / time.Microsecond)
-	digits    = 3
-	mostWrong = 20
+	maxLatencyMicros  = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
+	maxViolations     = 20
 )
 
 func newTally() *tally {
-	return &tally{reasons: map[string]int{}, added: hdrhistogram.New(1, slowest, digits)}
+	return &tally{reasons: map[string]int{}, addedLatency: hdrhistogram.New(1, maxLatencyMicros, significantDigits)}
 }
 
-func (t *tally) do(f func(r *Result)) {
+func (t *tally) update(f func(r *Result)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(&t.result)
 }
 
-func (t *tally) reason(organisation, reason string) {
+func (t *tally) countReason(organisation, reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reasons[organisation+" "+reason]++
@@ -53,15 +53,15 @@
 func (t *tally) addLatency(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_ = t.added.RecordValue(max(d.Microseconds(), 1))
+	_ = t.addedLatency.RecordValue(max(d.Microseconds(), 1))
 }
 
-// fault notes an answer that breaks a promise.
-func (t *tally) fault(text string) {
+// recordViolation records a response that breaks a guarantee, up to maxViolations of them.
+func (t *tally) recordViolation(text string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.wrong) < mostWrong {
-		t.wrong = append(t.wrong, text)
+	if len(t.violations) < maxViolations {
+		t.violations = append(t.violations, text)
 	}
 }
 
@@ -69,7 +69,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.result
-	r.AddedP50Ms = float64(t.added.ValueAtQuantile(50)) / 1000
-	r.AddedP99Ms = float64(t.added.ValueAtQuantile(99)) / 1000
+	r.AddedP50Ms = float64(t.addedLatency.ValueAtQuantile(50)) / 1000
+	r.AddedP99Ms = float64(t.addedLatency.ValueAtQuantile(99)) / 1000
 	return r
 }
--- a/internal/load/traffic/timeline.go
+++ b/internal/load/traffic/timeline.go
@@ -11,80 +11,80 @@
 	wire "github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// Second is what became of the requests sent in one second of a run.
+// Second holds the results of the requests sent in one second of a run.
 type Second struct {
-	// At is the second's number after the start, from 0.
+	// At is the number of the second after the start, from 0.
 	At      int
 	Sent    int
 	Whole   int
 	Refused int
 	Unknown int
-	// P50, P90, P99 and Max are latencies of the whole answers, as callers saw them.
+	// P50, P90, P99 and Max are latencies of whole responses, as callers saw them.
 	P50 time.Duration
 	P90 time.Duration
 	P99 time.Duration
 	Max time.Duration
 }
 
-// timeline sorts answers by the second in which their requests were sent, so
-// that a second in which all wait shows as slow, and not as one without answers.
+// timeline groups responses by the second in which their requests were sent, so that a second in which all requests wait
+// shows high latencies instead of no responses.
 type timeline struct {
 	mu      sync.Mutex
-	begun   time.Time
-	seconds []*moment
+	start   time.Time
+	seconds []*secondStats
 }
 
-type moment struct {
+type secondStats struct {
 	Second
 	latency *hdrhistogram.Histogram
 }
 
-func (t *timeline) add(sent time.Time, outcome string, took time.Duration) {
+func (t *timeline) add(sent time.Time, outcome string, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := t.moment(int(sent.Sub(t.begun) / time.Second))
-	m.Sent++
+	stats := t.statsAt(int(sent.Sub(t.start) / time.Second))
+	stats.Sent++
 	switch outcome {
 	case call.Whole.String():
-		m.Whole++
-		_ = m.latency.RecordValue(min(max(took.Microseconds(), 1), slowest))
+		stats.Whole++
+		_ = stats.latency.RecordValue(min(max(latency.Microseconds(), 1), maxLatencyMicros))
 	case call.NotRun.String():
-		m.Refused++
+		stats.Refused++
 	default:
-		m.Unknown++
+		stats.Unknown++
 	}
 }
 
-func (t *timeline) moment(at int) *moment {
-	for len(t.seconds) <= at {
-		m := &moment{latency: hdrhistogram.New(1, slowest, digits)}
-		m.At = len(t.seconds)
-		t.seconds = append(t.seconds, m)
+func (t *timeline) statsAt(second int) *secondStats {
+	for len(t.seconds) <= second {
+		stats := &secondStats{latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits)}
+		stats.At = len(t.seconds)
+		t.seconds = append(t.seconds, stats)
 	}
-	return t.seconds[at]
+	return t.seconds[second]
 }
 
-// Timeline returns what became of the requests, second by second; it is complete when Run has returned.
+// Timeline returns the results for each second; it is complete once Run has returned.
 func (r *Runner) Timeline() []Second {
 	r.timeline.mu.Lock()
 	defer r.timeline.mu.Unlock()
 	all := make([]Second, len(r.timeline.seconds))
-	for i, m := range r.timeline.seconds {
-		all[i] = m.summary()
+	for i, stats := range r.timeline.seconds {
+		all[i] = stats.summary()
 	}
 	return all
 }
 
-func (m *moment) summary() Second {
-	at := func(quantile float64) time.Duration {
-		return time.Duration(m.latency.ValueAtQuantile(quantile)) * time.Microsecond
+func (stats *secondStats) summary() Second {
+	latencyAt := func(quantile float64) time.Duration {
+		return time.Duration(stats.latency.ValueAtQuantile(quantile)) * time.Microsecond
 	}
-	s := m.Second
-	s.P50, s.P90, s.P99, s.Max = at(50), at(90), at(99), at(100)
+	s := stats.Second
+	s.P50, s.P90, s.P99, s.Max = latencyAt(50), latencyAt(90), latencyAt(99), latencyAt(100)
 	return s
 }
 
-// outcomeOf returns the outcome that an answer names; no answer has none.
+// outcomeOf returns the outcome that the response states, or "" without a response.
 func outcomeOf(res *http.Response, err error) string {
 	if err != nil {
 		return ""
