--- a/cmd/foxtailbench/main.go
+++ b/cmd/foxtailbench/main.go
@@ -85,7 +85,7 @@
 func (c *choices) ours() (chain.Policy, error) {
 	p := chain.Ours()
 	p.Wait = c.wait
-	p.Doors, p.Budget, p.Ceiling, p.Rates = c.doors, c.budget, c.ceiling, c.rates
+	p.Throttles, p.Budget, p.Ceiling, p.RateFactor = c.doors, c.budget, c.ceiling, c.rates
 	var ok bool
 	if p.Limit, ok = limit.ParseKind(c.limit); !ok {
 		return p, errors.Errorf("-limit: no limit is called %q", c.limit)
@@ -135,7 +135,7 @@
 	case "rates":
 		for _, lent := range []bool{false, true} {
 			name := map[bool]string{false: "exact", true: "lent"}[lent]
-			all = append(all, vary(name, func(p *chain.Policy) { p.Lent = lent }))
+			all = append(all, vary(name, func(p *chain.Policy) { p.LendRates = lent }))
 		}
 	case "wait":
 		for _, d := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, time.Second} {
@@ -148,7 +148,7 @@
 			}
 		}
 	case "doors":
-		all = append(all, vary("doors", func(p *chain.Policy) { p.Doors = true }), vary("noDoors", func(p *chain.Policy) { p.Doors = false }))
+		all = append(all, vary("doors", func(p *chain.Policy) { p.Throttles = true }), vary("noDoors", func(p *chain.Policy) { p.Throttles = false }))
 	default:
 		return nil, errors.Errorf("-compare: nothing is called %q", c.compare)
 	}
@@ -181,7 +181,7 @@
 				for _, p := range policies {
 					for i := range c.seeds {
 						all = append(all, chain.Experiment{
-							Deployment: d, Policy: p, Cause: chain.Cause(cause), Times: times, Seed: c.seed + uint64(i), Polite: c.polite,
+							Deployment: d, Policy: p, Cause: chain.Cause(cause), Times: times, Seed: c.seed + uint64(i), HonourRetryAfter: c.polite,
 						})
 					}
 				}
--- a/cmd/foxtailbench/mechanisms.go
+++ b/cmd/foxtailbench/mechanisms.go
@@ -48,13 +48,13 @@
 }
 
 func (a *ablation) play(n int, seed uint64) {
-	scene := mesh.Fan(seed)
-	scene.Troubles, scene.Without = a.load.Troubles, a.without
-	r := mesh.Play(scene, a.load.To)
+	scene := mesh.FanOut(seed)
+	scene.Faults, scene.Without = a.load.Faults, a.without
+	r := mesh.Simulate(scene, a.load.To)
 	asked, inTime, runs, crossed := 0, 0, 0, 0
 	for route, whole := range r.Routes {
 		t := r.Between(route, a.load.From, a.load.To)
-		asked, inTime = asked+t.Asked, inTime+t.InTime
+		asked, inTime = asked+t.Requests, inTime+t.InTime
 		runs, crossed = runs+whole.Runs, crossed+whole.CrossZone
 	}
 	a.served[n] = float64(inTime) / float64(max(asked, 1))
--- a/cmd/foxtailload/main.go
+++ b/cmd/foxtailload/main.go
@@ -56,7 +56,7 @@
 		Name: "publish", ShortUsage: "foxtailload publish -list NAME -file FILE", FlagSet: fs,
 		ShortHelp: "Publishes a list at the stand-in platform.",
 		Exec: func(ctx context.Context, _ []string) error {
-			return traffic.Act(ctx, http.MethodPut, "http://"+*platform+"/v1/lists/"+*list, *file)
+			return traffic.SendOperatorRequest(ctx, http.MethodPut, "http://"+*platform+"/v1/lists/"+*list, *file)
 		},
 	}
 }
--- a/internal/bench/rates/experiment.go
+++ b/internal/bench/rates/experiment.go
@@ -142,8 +142,8 @@
 	Organisations []OrganisationCount `json:"organisations"`
 }
 
-// offeredLoad is the offered load as a fraction of each organisation's rate. It is below 1, so that refusals within the rate
-// show a fault.
+// offeredLoad is the offered load as a fraction of each organisation's rate. It is below 1, so that all refusals are
+// wrongful.
 const offeredLoad = 0.8
 
 // Organisations returns eight plans, a few of them large.
--- a/internal/load/chain/caller.go
+++ b/internal/load/chain/caller.go
@@ -6,8 +6,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Callers retry aggressively: after a rejection or a timeout they retry within 100 ms, ignoring Retry-After unless told otherwise, up
-// to callerAttempts attempts in all.
+// Callers retry aggressively: after a rejection or a timeout they retry within 100 ms, ignoring Retry-After unless
+// honourRetryAfter is set, up to callerAttempts attempts in all.
 const (
 	callerAttempts = 5
 	callerBackoff  = 50 * time.Millisecond
--- a/internal/load/chain/chain_test.go
+++ b/internal/load/chain/chain_test.go
@@ -83,13 +83,13 @@
 	var all []Experiment
 	for _, lent := range []bool{false, true} {
 		p := Ours()
-		p.Rates, p.Lent = 1.2, lent
+		p.RateFactor, p.LendRates = 1.2, lent
 		for _, d := range []Deployment{Rejestr(), Desarrollos()} {
 			all = append(all, Experiment{Deployment: d, Policy: p, Cause: Skew, Times: 5, Seed: 7})
 		}
 	}
 	for i, r := range runAll(all) {
-		Convey(fmt.Sprintf("%s, rates lent %v: the other organisations get their rates", r.Deployment, all[i].Policy.Lent), t, func() {
+		Convey(fmt.Sprintf("%s, rates lent %v: the other organisations get their rates", r.Deployment, all[i].Policy.LendRates), t, func() {
 			So(r.WorstOrganisation, ShouldBeGreaterThan, 0.95)
 			So(r.Wrongful, ShouldBeLessThan, 0.01)
 			So(r.RateExcess, ShouldEqual, 0)
--- a/internal/load/chain/experiment.go
+++ b/internal/load/chain/experiment.go
@@ -34,9 +34,9 @@
 	Policy     Policy
 	Cause      Cause
 	// Times is the factor of the load, of the work times or of the loss, by the cause.
-	Times  float64
-	Seed   uint64
-	Polite bool
+	Times            float64
+	Seed             uint64
+	HonourRetryAfter bool
 }
 
 // Result holds the measurements of an experiment.
@@ -122,7 +122,7 @@
 	start := f.clock.Now
 	factor := e.loadFactor(organisation)
 	phase := func(rate float64, from, to time.Duration) {
-		c := &caller{fleet: f, organisation: organisation, rate: rate, tally: t, honourRetryAfter: e.Polite}
+		c := &caller{fleet: f, organisation: organisation, rate: rate, tally: t, honourRetryAfter: e.HonourRetryAfter}
 		f.clock.At(start.Add(from), func() { c.start(start.Add(to)) })
 	}
 	phase(rate, 0, causeStart)
--- a/internal/load/chain/fleet.go
+++ b/internal/load/chain/fleet.go
@@ -57,9 +57,9 @@
 	for i, share := range d.Demand {
 		f.organisations = append(f.organisations, fmt.Sprintf("organisation-%d", i))
 		f.weights = append(f.weights, int(math.Round(share*weightScale)))
-		f.buckets = append(f.buckets, bucket{rate: p.Rates * share * d.rate(), refilled: f.clock.Now})
+		f.buckets = append(f.buckets, bucket{rate: p.RateFactor * share * d.rate(), refilled: f.clock.Now})
 	}
-	if p.Lent {
+	if p.LendRates {
 		f.lentRates = f.newLentRates(seed)
 	}
 	return f
--- a/internal/load/chain/host.go
+++ b/internal/load/chain/host.go
@@ -90,7 +90,7 @@
 // applyThrottles rejects a request within its rate if a throttle does, and dispatches it otherwise.
 func (h *host) applyThrottles(r request, done func(answer)) {
 	organisation := h.fleet.organisations[r.organisation]
-	if h.fleet.policy.Doors {
+	if h.fleet.policy.Throttles {
 		if retryAfter, ok := h.throttles.Admit(h.fleet.clock.Now, organisation, r.operation.Name); !ok {
 			done(answer{notRun: true, retryAfter: retryAfter})
 			return
--- a/internal/load/chain/policy.go
+++ b/internal/load/chain/policy.go
@@ -18,23 +18,23 @@
 	Limit   limit.Kind
 	Queue   queue.Kind
 	Placing placing.Kind
-	// Doors enables throttles, which reject at the ingress what would fail at a later hop.
-	Doors bool
+	// Throttles enables throttles, which reject at the ingress what would fail at a later hop.
+	Throttles bool
 	// Budget is the maximum number of runs of one request; 0 allows three attempts at each hop.
 	Budget int
 	// Ceiling is the maximum concurrency limit, as a multiple of the instance's slots.
 	Ceiling float64
 	// Wait is the longest time that a request waits for a slot.
 	Wait time.Duration
-	// Rates is each organisation's rate limit relative to its rate at load 1; 0 for no limits.
-	Rates float64
-	// Lent enforces the rates with the fleet's own code, a home and a borrower at each host, instead of one exact bucket each.
-	Lent bool
+	// RateFactor is each organisation's rate limit relative to its rate at load 1; 0 for no limits.
+	RateFactor float64
+	// LendRates enforces the rates with the fleet's own code, a home and a borrower at each host, instead of one exact bucket each.
+	LendRates bool
 }
 
 // Ours returns the default policy of the daemon.
 func Ours() Policy {
-	return Policy{Name: "ours", Doors: true, Budget: defaultRunBudget, Ceiling: 2, Wait: admission.DefaultWait}
+	return Policy{Name: "ours", Throttles: true, Budget: defaultRunBudget, Ceiling: 2, Wait: admission.DefaultWait}
 }
 
 // Naive returns the policy that the daemon's is compared with.
--- a/internal/load/mesh/caller.go
+++ b/internal/load/mesh/caller.go
@@ -7,7 +7,7 @@
 
 // scheduleArrivals schedules callers' requests on the route as a Poisson process that ends at until.
 func (f *fleet) scheduleArrivals(r *Route, until time.Time) {
-	rate := r.ArrivalRate * max(f.faultLevel("", func(t *Trouble) float64 { return t.SurgeFactor }), 1)
+	rate := r.ArrivalRate * max(f.faultLevel("", func(t *Fault) float64 { return t.SurgeFactor }), 1)
 	f.clock.After(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
 		if f.now().After(until) {
 			return
@@ -28,7 +28,7 @@
 	start := f.now()
 	counts := f.result.countsOf(r.Name, f.second())
 	for _, t := range counts {
-		t.Asked++
+		t.Requests++
 	}
 	f.sendToDaemon(r, start, counts, func(a answer) {
 		remaining := r.Patience - f.now().Sub(start)
--- a/internal/load/mesh/fleet.go
+++ b/internal/load/mesh/fleet.go
@@ -28,7 +28,7 @@
 
 // fleet is the state of a running simulation.
 type fleet struct {
-	scenario     Scene
+	scenario     Scenario
 	clock        virtual.Clock
 	start        time.Time
 	random       *rand.Rand
@@ -49,8 +49,8 @@
 
 func (noopObserver) Leaves(netip.Addr) {}
 
-// Play simulates the scenario for the given virtual time and returns the results of the callers' requests.
-func Play(scenario Scene, length time.Duration) Result {
+// Simulate simulates the scenario for the given virtual time and returns the results of the callers' requests.
+func Simulate(scenario Scenario, length time.Duration) Result {
 	f := newFleet(scenario)
 	for _, r := range scenario.Routes {
 		if r.ArrivalRate > 0 {
@@ -64,7 +64,7 @@
 	return f.result
 }
 
-func newFleet(scenario Scene) *fleet {
+func newFleet(scenario Scenario) *fleet {
 	f := &fleet{
 		scenario: scenario, random: rand.New(rand.NewPCG(scenario.Seed, 1)), routesByName: map[string]*Route{}, result: Result{Routes: map[string]*Counts{}, Services: map[string][]Sent{}},
 		instances: map[string][]routing.Instance{}, byID: map[string]*host{},
@@ -77,8 +77,8 @@
 		f.routesByName[r.Name] = r
 	}
 	for _, service := range scenario.Services {
-		for n, speed := range service.Speeds {
-			f.addInstance(service, n, speed)
+		for n, workFactor := range service.WorkFactors {
+			f.addInstance(service, n, workFactor)
 		}
 	}
 	for _, h := range f.hosts {
@@ -87,14 +87,14 @@
 	return f
 }
 
-func (f *fleet) addInstance(service Service, n int, speed float64) {
+func (f *fleet) addInstance(service Service, n int, workFactor float64) {
 	zone := fmt.Sprintf("zone-%d", n%f.scenario.Zones)
 	address := netip.AddrFrom4([4]byte{10, 0, byte(len(f.hosts) >> 8), byte(len(f.hosts))})
 	instance := routing.Instance{
 		ID: fmt.Sprintf("%s-%d", service.Name, n), Service: service.Name, Zone: zone, Address: netip.AddrPortFrom(address, 80), Slots: service.Slots, Born: f.start,
 	}
 	h := &host{
-		fleet: f, instance: instance, speed: speed, ordinal: n, serviceSize: len(service.Speeds),
+		fleet: f, instance: instance, workFactor: workFactor, ordinal: n, serviceSize: len(service.WorkFactors),
 		shedder: shed.New(shed.WithRand(f.random.Float64), shed.Without(f.scenario.Without)), balancer: choice.New(zone, choice.WithRand(f.random.Float64), choice.Without(f.scenario.Without)),
 		retryBudget: repeats.New(f.scenario.RetryLimits), gate: newGate(service.Slots), runs: lineage.New(lineage.WithRand(f.random.Float64)), holdTimes: map[string]allot.HoldTime{},
 	}
@@ -112,11 +112,11 @@
 func (f *fleet) second() int { return int(f.now().Sub(f.start).Seconds()) }
 
 // faultLevel returns the highest strength among the faults of the service that are active now, 0 without any.
-func (f *fleet) faultLevel(service string, strength func(*Trouble) float64) float64 {
+func (f *fleet) faultLevel(service string, strength func(*Fault) float64) float64 {
 	highest := 0.0
 	elapsed := f.now().Sub(f.start)
-	for i := range f.scenario.Troubles {
-		if fault := &f.scenario.Troubles[i]; fault.Service == service && fault.active(elapsed) {
+	for i := range f.scenario.Faults {
+		if fault := &f.scenario.Faults[i]; fault.Service == service && fault.active(elapsed) {
 			highest = max(highest, strength(fault))
 		}
 	}
--- a/internal/load/mesh/host.go
+++ b/internal/load/mesh/host.go
@@ -20,9 +20,9 @@
 
 // host runs one instance and its daemon.
 type host struct {
-	fleet    *fleet
-	instance routing.Instance
-	speed    float64
+	fleet      *fleet
+	instance   routing.Instance
+	workFactor float64
 	// ordinal is the instance's index among the serviceSize instances of its service.
 	ordinal, serviceSize int
 
@@ -48,8 +48,8 @@
 
 // work draws the work time of a request on the route at this instance, at its present load.
 func (h *host) work(r *Route) time.Duration {
-	w := float64(h.fleet.sampleWork(r.Work)) * h.speed
-	w *= max(h.fleet.faultLevel(h.instance.Service, func(t *Trouble) float64 { return t.SlowFactor }), 1)
+	w := float64(h.fleet.sampleWork(r.Work)) * h.workFactor
+	w *= max(h.fleet.faultLevel(h.instance.Service, func(t *Fault) float64 { return t.SlowFactor }), 1)
 	if float64(h.gate.Load().InFlight) > slowFromSaturation*float64(h.instance.Slots) {
 		w *= slowFactor
 	}
@@ -58,7 +58,7 @@
 
 // unreachable reports whether the instance can't be reached now.
 func (h *host) unreachable() bool {
-	fraction := h.fleet.faultLevel(h.instance.Service, func(t *Trouble) float64 { return t.UnreachableFraction })
+	fraction := h.fleet.faultLevel(h.instance.Service, func(t *Fault) float64 { return t.UnreachableFraction })
 	return float64(h.ordinal) < fraction*float64(h.serviceSize)
 }
 
--- a/internal/load/mesh/loads_test.go
+++ b/internal/load/mesh/loads_test.go
@@ -10,13 +10,13 @@
 // seeds are the random seeds of each simulation; the tests check the mean over them.
 var seeds = []uint64{1, 2, 3}
 
-// meanOverSeeds simulates Fan with the faults for each seed and returns the mean of the measured values.
-func meanOverSeeds(faults []Trouble, length time.Duration, measure func(Result) float64) float64 {
+// meanOverSeeds simulates FanOut with the faults for each seed and returns the mean of the measured values.
+func meanOverSeeds(faults []Fault, length time.Duration, measure func(Result) float64) float64 {
 	sum := 0.0
 	for _, seed := range seeds {
-		s := Fan(seed)
-		s.Troubles = faults
-		sum += measure(Play(s, length))
+		s := FanOut(seed)
+		s.Faults = faults
+		sum += measure(Simulate(s, length))
 	}
 	return sum / float64(len(seeds))
 }
@@ -33,7 +33,7 @@
 // service. Next to all other requests, the service has capacity for 271 lookups a second, 0.47 of those sent; three quarters
 // of these should be answered in time.
 func TestSurgeWithFanOut(t *testing.T) {
-	surgeFaults := []Trouble{{From: 2 * time.Second, Duration: 10 * time.Second, SurgeFactor: 1.7}}
+	surgeFaults := []Fault{{From: 2 * time.Second, Duration: 10 * time.Second, SurgeFactor: 1.7}}
 	Convey("Routes of high rank or with few sub-calls are served, and lookups get nearly all of the remaining capacity", t, func() {
 		for _, c := range []struct {
 			route      string
@@ -45,7 +45,7 @@
 	Convey("Few responses, including those to client retries, miss the target", t, func() {
 		So(meanOverSeeds(surgeFaults, 12*time.Second, func(r Result) float64 {
 			t := r.Between("lookup", 4*time.Second, 12*time.Second)
-			return float64(t.Late) / float64(t.Asked)
+			return float64(t.Late) / float64(t.Requests)
 		}), ShouldBeLessThan, 0.03)
 	})
 }
@@ -54,7 +54,7 @@
 // fail, while requests that need a single retry get none.
 func TestServiceDecliningHalf(t *testing.T) {
 	const from, to = 11 * time.Second, 17 * time.Second
-	declineFaults := []Trouble{{From: 10 * time.Second, Duration: 8 * time.Second, Service: "directory", DeclineFraction: 0.55}}
+	declineFaults := []Fault{{From: 10 * time.Second, Duration: 8 * time.Second, Service: "directory", DeclineFraction: 0.55}}
 	Convey("At least three in ten of the unlocks that the retry budget allows succeed, and most maps", t, func() {
 		// The budget is 0.2 retries for each of 3,400 requests a second, that is 680; 100 of them serve all maps, and an unlock needs 9.8.
 		const unlocks = (680 - 100) / 9.8 / 93
@@ -65,7 +65,7 @@
 	Convey("Most admitted requests succeed", t, func() {
 		So(meanOverSeeds(declineFaults, to, func(r Result) float64 {
 			lookups, unlocks := r.Between("lookup", from, to), r.Between("unlock", from, to)
-			return float64(lookups.Failed+unlocks.Failed) / float64(lookups.Asked+unlocks.Asked)
+			return float64(lookups.Failed+unlocks.Failed) / float64(lookups.Requests+unlocks.Requests)
 		}), ShouldBeLessThan, 0.1)
 		// Guards against taking the sub-calls of a run that failed midway for all that a complete run makes.
 		So(meanOverSeeds(declineFaults, to, func(r Result) float64 {
@@ -78,9 +78,9 @@
 	})
 	Convey("The fleet keeps within its retry limits", t, func() {
 		for _, seed := range seeds {
-			s := Fan(seed)
-			s.Troubles = declineFaults
-			r := Play(s, to)
+			s := FanOut(seed)
+			s.Faults = declineFaults
+			r := Simulate(s, to)
 			retries := 0
 			for _, t := range r.Routes {
 				retries += t.Retries
@@ -95,15 +95,15 @@
 // first second.
 func TestLastServiceDecliningHalf(t *testing.T) {
 	const from, to = 13 * time.Second, 21 * time.Second
-	faults := []Trouble{
+	faults := []Fault{
 		{From: 500 * time.Millisecond, Duration: 16 * time.Second, SurgeFactor: 1.8},
 		{From: from, Duration: to - from, Service: "records", DeclineFraction: 0.55},
 	}
 	var means struct{ notices, lookups, uploads, confirms, failed, retryExcess float64 }
 	for _, seed := range seeds {
 		s := Chain(seed)
-		s.Troubles = faults
-		r := Play(s, 25*time.Second)
+		s.Faults = faults
+		r := Simulate(s, 25*time.Second)
 		goodput := func(route string) float64 {
 			t := r.Between(route, from, to)
 			return t.Goodput() / float64(len(seeds))
@@ -113,7 +113,7 @@
 		means.uploads += goodput("upload")
 		means.confirms += goodput("confirm")
 		notices := r.Between("notice", from+time.Second, to)
-		means.failed += float64(notices.Failed) / float64(notices.Asked) / float64(len(seeds))
+		means.failed += float64(notices.Failed) / float64(notices.Requests) / float64(len(seeds))
 		means.retryExcess = max(means.retryExcess, r.RetryExcess("records", s.RetryLimits))
 	}
 	Convey("Notices are served far more often than lookups, and routes that need few or no retries are served", t, func() {
@@ -135,13 +135,13 @@
 // the responses is lost.
 func TestLostAnswers(t *testing.T) {
 	const from, to = 11 * time.Second, 17 * time.Second
-	lossFaults := []Trouble{{From: 10 * time.Second, Duration: 8 * time.Second, Service: "directory", LossFraction: 0.2}}
+	lossFaults := []Fault{{From: 10 * time.Second, Duration: 8 * time.Second, Service: "directory", LossFraction: 0.2}}
 	Convey("Most admitted requests succeed, and high-priority routes are still served", t, func() {
 		So(meanOverSeeds(lossFaults, to, goodputBetween("unlock", from, to)), ShouldBeGreaterThan, 0.7)
 		So(meanOverSeeds(lossFaults, to, goodputBetween("lookup", from, to)), ShouldBeGreaterThan, 0.3)
 		So(meanOverSeeds(lossFaults, to, func(r Result) float64 {
 			lookups := r.Between("lookup", from, to)
-			return float64(lookups.Failed) / float64(lookups.Asked)
+			return float64(lookups.Failed) / float64(lookups.Requests)
 		}), ShouldBeLessThan, 0.2)
 	})
 }
@@ -160,14 +160,14 @@
 		So(meanOverSeeds(nil, 6*time.Second, crossZoneFraction), ShouldBeLessThan, 0.15)
 	})
 	Convey("Requests are served by other availability zones when the instance in their own is unreachable", t, func() {
-		unreachableFaults := []Trouble{{From: 2 * time.Second, Duration: 4 * time.Second, Service: "files", UnreachableFraction: 0.33}}
+		unreachableFaults := []Fault{{From: 2 * time.Second, Duration: 4 * time.Second, Service: "files", UnreachableFraction: 0.33}}
 		So(meanOverSeeds(unreachableFaults, 6*time.Second, goodputBetween("file", 3*time.Second, 6*time.Second)), ShouldBeGreaterThan, 0.9)
 	})
 }
 
 func TestSameSeedSameFigures(t *testing.T) {
 	Convey("Two simulations with the same seed give the same counts", t, func() {
-		lookups := func() Counts { return *Play(Fan(9), 3*time.Second).Routes["lookup"] }
+		lookups := func() Counts { return *Simulate(FanOut(9), 3*time.Second).Routes["lookup"] }
 		So(lookups(), ShouldResemble, lookups())
 	})
 }
--- a/internal/load/mesh/request.go
+++ b/internal/load/mesh/request.go
@@ -121,7 +121,7 @@
 	sent := h.fleet.now()
 	retry := q.retry || q.tracker.Delivered()
 	destination := h.fleet.byID[instance.ID]
-	execution := &execution{host: destination, request: q, retry: retry}
+	attempt := &execution{host: destination, request: q, retry: retry}
 	recorded := false
 	record := func(a answer) {
 		if recorded {
@@ -135,9 +135,9 @@
 	}
 	q.cancelAttempt = func() {
 		record(answer{result: choice.Withdrawn})
-		execution.cancel()
+		attempt.cancel()
 	}
-	execution.done = func(a answer) {
+	attempt.done = func(a answer) {
 		h.fleet.clock.After(hostDelay, func() {
 			record(a)
 			h.handleResult(q, instance.ID, a)
@@ -148,7 +148,7 @@
 			t.CrossZone++
 		}
 	}
-	h.fleet.clock.After(hostDelay, execution.arrive)
+	h.fleet.clock.After(hostDelay, attempt.arrive)
 }
 
 // handleResult records the result of an attempt and finishes the request or sends the next attempt.
--- a/internal/load/mesh/scene.go
+++ b/internal/load/mesh/scene.go
@@ -8,15 +8,15 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/shed"
 )
 
-// Scene is a fleet, the load of its callers and the faults injected.
-type Scene struct {
+// Scenario is a fleet, the load of its callers and the faults injected.
+type Scenario struct {
 	Services []Service
 	Routes   []Route
 	// Zones is the number of availability zones; instances are assigned to them round robin.
 	Zones int
 	// RetryLimits bound the retries of the whole fleet.
 	RetryLimits repeats.Limits
-	Troubles    []Trouble
+	Faults      []Fault
 	Seed        uint64
 	// Without is the set of disabled mechanisms.
 	Without mechanism.Set
@@ -25,9 +25,9 @@
 // Service describes the instances of a service.
 type Service struct {
 	Name string
-	// Speeds has one entry for each instance: the factor that its work times are multiplied by.
-	Speeds []float64
-	Slots  int
+	// WorkFactors has one entry for each instance: the factor that its work times are multiplied by.
+	WorkFactors []float64
+	Slots       int
 }
 
 // Route describes one kind of request to one service.
@@ -40,8 +40,8 @@
 	Work     time.Duration
 	Subcalls []Subcall
 	Rank     shed.Rank
-	// Target is the latency target, Timeout the configured limit for one request, and Patience the caller's limit with its
-	// retry.
+	// Target is the latency target, Timeout the configured limit for one request, and Patience the time that a caller waits in
+	// all, including its retry.
 	Target, Timeout, Patience time.Duration
 	Attempts                  int
 	// AtMostOnce means that a request that may have run is not retried.
@@ -56,8 +56,8 @@
 	Concurrent bool
 }
 
-// Trouble is an injected fault that is active from From on, for Duration.
-type Trouble struct {
+// Fault is an injected fault that is active from From on, for Duration.
+type Fault struct {
 	From, Duration time.Duration
 	// Service is the affected service; it is empty for a surge, which affects all callers.
 	Service string
@@ -72,4 +72,4 @@
 	UnreachableFraction float64
 }
 
-func (f *Trouble) active(at time.Duration) bool { return at >= f.From && at < f.From+f.Duration }
+func (f *Fault) active(at time.Duration) bool { return at >= f.From && at < f.From+f.Duration }
--- a/internal/load/mesh/scenes.go
+++ b/internal/load/mesh/scenes.go
@@ -7,18 +7,18 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/shed"
 )
 
-// Fan returns a fleet in which most requests fan out to eight sub-calls of one small service at the end of the call graph: a
+// FanOut returns a fleet in which most requests fan out to eight sub-calls of one small service at the end of the call graph: a
 // lookup checks two sessions, an unlock reads two indexes, each session check reads one index, and each index reads four
 // entries of the directory, which also serves maps.
-func Fan(seed uint64) Scene {
+func FanOut(seed uint64) Scenario {
 	limits := repeats.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
-	return Scene{
+	return Scenario{
 		Zones: 3, RetryLimits: limits, Seed: seed,
 		Services: []Service{
-			{Name: "lookups", Speeds: []float64{0.7, 0.7, 1.6, 0.7, 0.7, 1.6, 0.7}, Slots: 79},
-			{Name: "lockers", Speeds: []float64{0.6, 1, 1.4, 0.6}, Slots: 138},
-			{Name: "files", Speeds: []float64{0.6, 1, 1.4}, Slots: 185},
-			{Name: "directory", Speeds: []float64{0.7, 0.7, 1.6}, Slots: 45},
+			{Name: "lookups", WorkFactors: []float64{0.7, 0.7, 1.6, 0.7, 0.7, 1.6, 0.7}, Slots: 79},
+			{Name: "lockers", WorkFactors: []float64{0.6, 1, 1.4, 0.6}, Slots: 138},
+			{Name: "files", WorkFactors: []float64{0.6, 1, 1.4}, Slots: 185},
+			{Name: "directory", WorkFactors: []float64{0.7, 0.7, 1.6}, Slots: 45},
 		},
 		Routes: []Route{
 			{
@@ -46,15 +46,15 @@
 
 // Chain returns a fleet of about a hundred instances in which lookups and notices lead, through the services between, to four
 // sequential sub-calls of a small service at the end; confirmations call that service directly.
-func Chain(seed uint64) Scene {
+func Chain(seed uint64) Scenario {
 	const ms = time.Millisecond
-	return Scene{
+	return Scenario{
 		Zones: 5, RetryLimits: repeats.Limits{Ratio: 0.2, Slack: 124, Window: 10 * time.Second}, Seed: seed,
 		Services: []Service{
-			{Name: "lookups", Speeds: mixedSpeeds(48), Slots: 22},
-			{Name: "dispatch", Speeds: mixedSpeeds(33), Slots: 22},
-			{Name: "campaigns", Speeds: mixedSpeeds(9), Slots: 47},
-			{Name: "records", Speeds: mixedSpeeds(5), Slots: 29},
+			{Name: "lookups", WorkFactors: mixedWorkFactors(48), Slots: 22},
+			{Name: "dispatch", WorkFactors: mixedWorkFactors(33), Slots: 22},
+			{Name: "campaigns", WorkFactors: mixedWorkFactors(9), Slots: 47},
+			{Name: "records", WorkFactors: mixedWorkFactors(5), Slots: 29},
 		},
 		Routes: []Route{
 			{
@@ -80,8 +80,8 @@
 	}
 }
 
-// mixedSpeeds returns work time factors for count instances, which cycle through 0.5, 1, 1 and 1.5.
-func mixedSpeeds(count int) []float64 {
+// mixedWorkFactors returns work time factors for count instances, which cycle through 0.5, 1, 1 and 1.5.
+func mixedWorkFactors(count int) []float64 {
 	all := make([]float64, count)
 	for n := range all {
 		all[n] = []float64{0.5, 1, 1, 1.5}[n%4]
@@ -91,8 +91,8 @@
 
 // Load is a set of faults with the interval in which results are counted.
 type Load struct {
-	Name     string
-	Troubles []Trouble
+	Name   string
+	Faults []Fault
 	// From and To bound the interval in which results are counted.
 	From, To time.Duration
 }
@@ -100,19 +100,19 @@
 // Loads returns the loads under which policies are compared.
 func Loads() []Load {
 	const from, to = 4 * time.Second, 12 * time.Second
-	fault := func(f Trouble) []Trouble {
+	fault := func(f Fault) []Fault {
 		f.From, f.Duration = 2*time.Second, 10*time.Second
-		return []Trouble{f}
+		return []Fault{f}
 	}
-	surge := fault(Trouble{SurgeFactor: 1.7})
-	sheds := []Trouble{{From: 10 * time.Second, Duration: 8 * time.Second, Service: "directory", DeclineFraction: 0.55}}
-	lost := []Trouble{{From: 10 * time.Second, Duration: 8 * time.Second, Service: "directory", LossFraction: 0.2}}
+	surge := fault(Fault{SurgeFactor: 1.7})
+	sheds := []Fault{{From: 10 * time.Second, Duration: 8 * time.Second, Service: "directory", DeclineFraction: 0.55}}
+	lost := []Fault{{From: 10 * time.Second, Duration: 8 * time.Second, Service: "directory", LossFraction: 0.2}}
 	return []Load{
 		{"calm", nil, from, to},
 		{"surge", surge, from, to},
 		{"sheds", sheds, 11 * time.Second, 17 * time.Second},
 		{"lost", lost, 11 * time.Second, 17 * time.Second},
-		{"slow", fault(Trouble{Service: "files", SlowFactor: 4}), from, to},
+		{"slow", fault(Fault{Service: "files", SlowFactor: 4}), from, to},
 	}
 }
 
--- a/internal/load/mesh/tally.go
+++ b/internal/load/mesh/tally.go
@@ -8,7 +8,7 @@
 
 // Counts holds the results of callers' requests.
 type Counts struct {
-	Asked, InTime, Late, NotRun, Failed int
+	Requests, InTime, Late, NotRun, Failed int
 	// Runs counts the executions at instances, and Retries those that are retries or sub-calls of a retry.
 	Runs, Retries int
 	// CrossZone counts the attempts sent to another availability zone.
@@ -85,7 +85,7 @@
 		if t == nil {
 			continue
 		}
-		sum.Asked += t.Asked
+		sum.Requests += t.Requests
 		sum.InTime += t.InTime
 		sum.Late += t.Late
 		sum.NotRun += t.NotRun
@@ -98,8 +98,8 @@
 
 // Goodput returns the fraction of requests that were answered within the target, 0 to 1.
 func (t Counts) Goodput() float64 {
-	if t.Asked == 0 {
+	if t.Requests == 0 {
 		return 1
 	}
-	return float64(t.InTime) / float64(t.Asked)
+	return float64(t.InTime) / float64(t.Requests)
 }
--- a/internal/load/mesh/visit.go
+++ b/internal/load/mesh/visit.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	maxQueueWait        = 250 * time.Millisecond
+	maxQueueWait = 250 * time.Millisecond
+	// A sub-call waits in the queue for at most subcallWaitFraction of its remaining time.
 	subcallWaitFraction = 0.6
 	limitFraction       = 0.95
 	responseReserve     = 10 * time.Millisecond
@@ -113,7 +114,7 @@
 	e.lineageRun = &lineage.Run{Route: e.request.route.Name, Root: e.request.root.Name, Priority: e.ticket.Priority, Retry: e.retry}
 	e.host.runs.Begin(e.lineageRun, e.deadline)
 	e.host.delivered++
-	if f.random.Float64() < f.faultLevel(e.host.instance.Service, func(t *Trouble) float64 { return t.DeclineFraction }) {
+	if f.random.Float64() < f.faultLevel(e.host.instance.Service, func(t *Fault) float64 { return t.DeclineFraction }) {
 		f.clock.After(declineDelay, func() {
 			e.end(answer{outcome: notRun, result: choice.Declined, retryAfter: declinedRetryAfter, delivered: true})
 		})
@@ -130,7 +131,7 @@
 
 func (e *execution) complete() {
 	f := e.host.fleet
-	if f.random.Float64() < f.faultLevel(e.host.instance.Service, func(t *Trouble) float64 { return t.LossFraction }) {
+	if f.random.Float64() < f.faultLevel(e.host.instance.Service, func(t *Fault) float64 { return t.LossFraction }) {
 		e.end(answer{outcome: failed, result: choice.Lost, delivered: true, responseLost: true})
 		return
 	}
--- a/internal/load/traffic/run.go
+++ b/internal/load/traffic/run.go
@@ -204,7 +204,7 @@
 		case <-time.After(time.Until(r.start.Add(time.Duration(e.At)))):
 		}
 		fmt.Fprintf(r.progress, "  %5s  %s\n", time.Duration(e.At), e.Note)
-		if err := Act(ctx, e.Method, e.URL, e.File); err != nil {
+		if err := SendOperatorRequest(ctx, e.Method, e.URL, e.File); err != nil {
 			r.tally.recordViolation(fmt.Sprintf("event %q: %v", e.Note, err))
 		}
 		if e.Withdraws != "" {
@@ -232,8 +232,8 @@
 	}
 }
 
-// Act sends one operator's request, with a file as its body if one is named; any status but 200 is an error.
-func Act(ctx context.Context, method, url, file string) error {
+// SendOperatorRequest sends one operator's request, with a file as its body if one is named; any status but 200 is an error.
+func SendOperatorRequest(ctx context.Context, method, url, file string) error {
 	var raw []byte
 	if file != "" {
 		read, err := os.ReadFile(file)
@@ -261,7 +261,7 @@
 // ended.
 func AwaitReady(ctx context.Context, operators []netip.AddrPort) error {
 	for _, address := range operators {
-		for Act(ctx, http.MethodGet, "http://"+address.String()+"/healthz", "") != nil {
+		for SendOperatorRequest(ctx, http.MethodGet, "http://"+address.String()+"/healthz", "") != nil {
 			select {
 			case <-ctx.Done():
 				return errors.Errorf("traffic: %s did not respond to /healthz with status 200 in time", address)
--- a/internal/load/virtual/clock.go
+++ b/internal/load/virtual/clock.go
@@ -16,7 +16,9 @@
 	do  func()
 }
 
-func (e event) before(other event) bool { return e.at < other.at || e.at == other.at && e.seq < other.seq }
+func (e event) before(other event) bool {
+	return e.at < other.at || e.at == other.at && e.seq < other.seq
+}
 
 // events is a binary heap with the next event first. It doesn't use container/heap, which would allocate
 // each of a run's millions of events.
--- a/internal/proof/scenario/commands_test.go
+++ b/internal/proof/scenario/commands_test.go
@@ -133,7 +133,7 @@
 func publish(ts *testscript.TestScript, list, file string) {
 	f := fleetOf(ts)
 	for _, p := range f.platforms {
-		ts.Check(traffic.Act(context.Background(), http.MethodPut, "http://"+f.address(p.number, platformPort).String()+"/v1/lists/"+list, file))
+		ts.Check(traffic.SendOperatorRequest(context.Background(), http.MethodPut, "http://"+f.address(p.number, platformPort).String()+"/v1/lists/"+list, file))
 	}
 }
 
@@ -144,7 +144,7 @@
 	if p == nil {
 		ts.Fatalf("no platform %q", args[1:])
 	}
-	ts.Check(traffic.Act(context.Background(), http.MethodPost, "http://"+f.address(p.number, platformPort).String()+"/v1/mode/"+args[0], ""))
+	ts.Check(traffic.SendOperatorRequest(context.Background(), http.MethodPost, "http://"+f.address(p.number, platformPort).String()+"/v1/mode/"+args[0], ""))
 }
 
 func cmdReady(ts *testscript.TestScript, _ bool, args []string) {
@@ -297,7 +297,7 @@
 	need(ts, args, 2, "slow NAME MILLISECONDS")
 	f := fleetOf(ts)
 	url := fmt.Sprintf("http://%s/standin/latency/%s", f.address(f.hosts[args[0]].number, upstreamPort), args[1])
-	ts.Check(traffic.Act(context.Background(), http.MethodPost, url, ""))
+	ts.Check(traffic.SendOperatorRequest(context.Background(), http.MethodPost, url, ""))
 }
 
 func cmdRuns(ts *testscript.TestScript, _ bool, _ []string) {
--- a/internal/proof/scenario/events_test.go
+++ b/internal/proof/scenario/events_test.go
@@ -57,7 +57,7 @@
 	if len(args) > 1 {
 		query = "?body=" + url.QueryEscape(args[1])
 	}
-	ts.Check(traffic.Act(context.Background(), http.MethodPost, fleetOf(ts).upstream(args[0], "/standin/hold"+query), ""))
+	ts.Check(traffic.SendOperatorRequest(context.Background(), http.MethodPost, fleetOf(ts).upstream(args[0], "/standin/hold"+query), ""))
 }
 
 func cmdRelease(ts *testscript.TestScript, _ bool, args []string) {
@@ -66,7 +66,7 @@
 }
 
 func (f *fleet) release(name string) error {
-	return traffic.Act(context.Background(), http.MethodPost, f.upstream(name, "/standin/release"), "")
+	return traffic.SendOperatorRequest(context.Background(), http.MethodPost, f.upstream(name, "/standin/release"), "")
 }
 
 func cmdAbandon(ts *testscript.TestScript, _ bool, args []string) {
