--- a/internal/app/settings/binder.go
+++ b/internal/app/settings/binder.go
@@ -11,28 +11,31 @@
 	"github.com/sirupsen/logrus"
 )
 
-// binder collects flags as text and reads them all after parsing, so that every fault is told in one go.
+// binder defines flags with text values and converts them all after parsing, so that every fault is reported at once.
 type binder struct {
-	fs       *flag.FlagSet
-	reads    []func()
-	rules    []func()
-	problems Problems
+	fs *flag.FlagSet
+	// resolvers convert and check the parsed text of each flag; checks only check the setting's present value.
+	resolvers []func()
+	checks    []func()
+	problems  Problems
 }
 
+// fault records a problem.
 func (b *binder) fault(format string, args ...any) {
 	b.problems = append(b.problems, fmt.Sprintf(format, args...))
 }
 
+// resolve converts and checks the text of every flag.
 func (b *binder) resolve() {
-	for _, read := range b.reads {
-		read()
+	for _, resolve := range b.resolvers {
+		resolve()
 	}
 }
 
-// obey checks the bounds of values that were set rather than parsed.
-func (b *binder) obey() {
-	for _, rule := range b.rules {
-		rule()
+// checkBounds checks values that were assigned rather than parsed.
+func (b *binder) checkBounds() {
+	for _, check := range b.checks {
+		check()
 	}
 }
 
@@ -42,33 +45,33 @@
 	}
 }
 
-func (b *binder) text(into *string, name, value, help string) {
-	b.fs.StringVar(into, name, value, help)
+func (b *binder) text(target *string, name, value, help string) {
+	b.fs.StringVar(target, name, value, help)
 }
 
-// read binds a flag whose text is turned into a T after parsing; the rules hold for parsed and for set values.
-func read[T any](b *binder, into *T, name, value, help string, parse func(string) (T, error), rules ...func(T) error) {
-	obey := func() {
-		for _, rule := range rules {
-			if err := rule(*into); err != nil {
+// bindValue defines a flag whose text is converted to a T after parsing; the checks apply to parsed and to assigned values.
+func bindValue[T any](b *binder, target *T, name, initial, help string, parse func(string) (T, error), checks ...func(T) error) {
+	checkValue := func() {
+		for _, check := range checks {
+			if err := check(*target); err != nil {
 				b.fault("-%s: %v", name, err)
 			}
 		}
 	}
-	raw := b.fs.String(name, value, help)
-	b.rules = append(b.rules, obey)
-	b.reads = append(b.reads, func() {
+	raw := b.fs.String(name, initial, help)
+	b.checks = append(b.checks, checkValue)
+	b.resolvers = append(b.resolvers, func() {
 		parsed, err := parse(*raw)
 		if err != nil {
 			b.fault("-%s: %v", name, err)
 			return
 		}
-		*into = parsed
-		obey()
+		*target = parsed
+		checkValue()
 	})
 }
 
-func (b *binder) address(into *netip.AddrPort, name, value, help string) {
+func (b *binder) address(target *netip.AddrPort, name, value, help string) {
 	parse := func(raw string) (netip.AddrPort, error) {
 		a, err := netip.ParseAddrPort(raw)
 		if err != nil {
@@ -76,7 +79,7 @@
 		}
 		return a, nil
 	}
-	read(b, into, name, value, help, parse, func(a netip.AddrPort) error {
+	bindValue(b, target, name, value, help, parse, func(a netip.AddrPort) error {
 		if !a.IsValid() || a.Port() == 0 {
 			return fmt.Errorf("%q is not an IP number with a port above 0", a)
 		}
@@ -84,24 +87,24 @@
 	})
 }
 
-// advertised binds the address as others know it; empty means the same as the listener's.
-func (b *binder) advertised(into, listener *netip.AddrPort) {
+// advertised defines the flag for the address under which peers reach this daemon; empty means the listener's address.
+func (b *binder) advertised(target, listener *netip.AddrPort) {
 	raw := b.fs.String("advertise", "", "IP:port of -peers as the hosts list has it (default the same)")
-	b.reads = append(b.reads, func() {
+	b.resolvers = append(b.resolvers, func() {
 		if *raw == "" {
-			*into = *listener
+			*target = *listener
 			return
 		}
 		a, err := netip.ParseAddrPort(*raw)
 		if err != nil {
 			b.fault("-advertise: %q is not an IP number with a port", *raw)
 		}
-		*into = a
+		*target = a
 	})
 }
 
-func (b *binder) addresses(into *[]netip.AddrPort, name, value, help string) {
-	read(b, into, name, value, help, func(raw string) ([]netip.AddrPort, error) {
+func (b *binder) addresses(target *[]netip.AddrPort, name, value, help string) {
+	bindValue(b, target, name, value, help, func(raw string) ([]netip.AddrPort, error) {
 		var all []netip.AddrPort
 		for part := range strings.SplitSeq(raw, ",") {
 			if part == "" {
@@ -117,61 +120,61 @@
 	})
 }
 
-func (b *binder) count(into *int, name string, value int, help string, least, most int) {
-	help = fmt.Sprintf("%s (%d to %d)", help, least, most)
+func (b *binder) count(target *int, name string, value int, help string, lowest, highest int) {
+	help = fmt.Sprintf("%s (%d to %d)", help, lowest, highest)
 	parse := func(raw string) (int, error) {
 		n, err := strconv.Atoi(raw)
 		if err != nil {
-			return 0, fmt.Errorf("%q is not a whole number from %d to %d", raw, least, most)
+			return 0, fmt.Errorf("%q is not a whole number from %d to %d", raw, lowest, highest)
 		}
 		return n, nil
 	}
-	read(b, into, name, strconv.Itoa(value), help, parse, func(n int) error {
-		if n < least || n > most {
-			return fmt.Errorf("%d is not from %d to %d", n, least, most)
+	bindValue(b, target, name, strconv.Itoa(value), help, parse, func(n int) error {
+		if n < lowest || n > highest {
+			return fmt.Errorf("%d is not from %d to %d", n, lowest, highest)
 		}
 		return nil
 	})
 }
 
-func (b *binder) duration(into *time.Duration, name string, value time.Duration, help string, least, most time.Duration) {
-	help = fmt.Sprintf("%s (%s to %s)", help, least, most)
+func (b *binder) duration(target *time.Duration, name string, value time.Duration, help string, shortest, longest time.Duration) {
+	help = fmt.Sprintf("%s (%s to %s)", help, shortest, longest)
 	parse := func(raw string) (time.Duration, error) {
 		d, err := time.ParseDuration(raw)
 		if err != nil {
-			return 0, fmt.Errorf("%q is not a duration from %s to %s", raw, least, most)
+			return 0, fmt.Errorf("%q is not a duration from %s to %s", raw, shortest, longest)
 		}
 		return d, nil
 	}
-	read(b, into, name, value.String(), help, parse, func(d time.Duration) error {
-		if d < least || d > most {
-			return fmt.Errorf("%s is not from %s to %s", d, least, most)
+	bindValue(b, target, name, value.String(), help, parse, func(d time.Duration) error {
+		if d < shortest || d > longest {
+			return fmt.Errorf("%s is not from %s to %s", d, shortest, longest)
 		}
 		return nil
 	})
 }
 
-func (b *binder) level(into *logrus.Level, name, value, help string) {
-	read(b, into, name, value, help, logrus.ParseLevel, func(l logrus.Level) error {
+func (b *binder) level(target *logrus.Level, name, value, help string) {
+	bindValue(b, target, name, value, help, logrus.ParseLevel, func(l logrus.Level) error {
 		if l > logrus.TraceLevel {
-			return fmt.Errorf("%d is not a level of the log", l)
+			return fmt.Errorf("%d is not a log level", l)
 		}
 		return nil
 	})
 }
 
-// choice binds a flag that takes one of an enum's names, which its help tells behind a colon.
-func choice[E fmt.Stringer](b *binder, into *E, name string, value E, help string, parse func(string) (E, bool)) {
+// choice defines a flag that takes one of an enum's names; its help lists them after a colon.
+func choice[E fmt.Stringer](b *binder, target *E, name string, value E, help string, parse func(string) (E, bool)) {
 	_, names, _ := strings.Cut(help, ": ")
-	named := func(raw string) (E, error) {
+	parseName := func(raw string) (E, error) {
 		e, ok := parse(raw)
 		if !ok {
-			return e, fmt.Errorf("%q is not one of its names: %s", raw, names)
+			return e, fmt.Errorf("%q is not one of: %s", raw, names)
 		}
 		return e, nil
 	}
-	read(b, into, name, value.String(), help, named, func(e E) error {
-		_, err := named(e.String())
+	bindValue(b, target, name, value.String(), help, parseName, func(e E) error {
+		_, err := parseName(e.String())
 		return err
 	})
 }
--- a/internal/app/settings/check_test.go
+++ b/internal/app/settings/check_test.go
@@ -8,16 +8,16 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func sound() Settings {
+func validSettings() Settings {
 	s := Default()
 	s.Host, s.Service, s.Zone = "h", "s", "z"
 	return s
 }
 
-func TestCheckOfSettingsThatWereSet(t *testing.T) {
-	// A program that embeds the daemon sets values directly, past the command
-	// line. Without the same bounds a negative count of slots would end the
-	// process with a panic instead of a sentence.
+func TestCheckOfAssignedSettings(t *testing.T) {
+	// A program that embeds the daemon assigns settings directly instead of parsing
+	// flags. Without the same bounds, a negative number of slots would end in a
+	// panic instead of an error.
 	cases := []struct {
 		name  string
 		set   func(*Settings)
@@ -28,16 +28,16 @@
 		{"port 0", func(s *Settings) { s.Peers = netip.MustParseAddrPort("127.0.0.1:0") }, "-peers"},
 		{"timeout above its bound", func(s *Settings) { s.MaxTimeout = 2 * time.Hour }, "-max-timeout: 2h0m0s is not from 1ms to 1h0m0s"},
 		{"two listeners on one address", func(s *Settings) { s.Callers = s.Operators }, "-callers and -operators"},
-		{"name with a blank", func(s *Settings) { s.Zone = "a b" }, "-zone"},
+		{"name with a space", func(s *Settings) { s.Zone = "a b" }, "-zone"},
 	}
-	Convey("Sound settings have no fault", t, func() {
-		s := sound()
+	Convey("Valid settings have no problem", t, func() {
+		s := validSettings()
 		So(s.Check(), ShouldBeNil)
 	})
-	Convey("The bounds of the command line hold for set values too", t, func() {
+	Convey("The bounds of the flags also apply to assigned values", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				s := sound()
+				s := validSettings()
 				c.set(&s)
 				problems, ok := s.Check().(Problems)
 				So(ok, ShouldBeTrue)
@@ -49,7 +49,7 @@
 }
 
 func TestFlags(t *testing.T) {
-	Convey("Every setting has a name, a variable and a sentence", t, func() {
+	Convey("Every setting has a help text and an environment variable", t, func() {
 		for _, f := range Flags() {
 			So(f.Help, ShouldNotBeBlank)
 			So(f.Env, ShouldStartWith, EnvPrefix+"_")
--- a/internal/app/settings/flags.go
+++ b/internal/app/settings/flags.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Flag describes one setting for pages and tools.
+// Flag describes one setting, for reference pages and tools.
 type Flag struct {
 	// Name is the flag's name without its dash.
 	Name string
 	// Env is the environment variable that sets it.
 	Env string
-	// Default is the value that holds when nobody sets it, as text.
+	// Default is the default value as text.
 	Default string
-	// Help is the sentence that -h shows, with unit and bounds.
+	// Help is the text that -h prints, with unit and bounds.
 	Help string
 }
 
@@ -34,10 +34,10 @@
 	return EnvPrefix + "_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
 
-// sift takes unknown flags out of the arguments, with the value that follows
-// each. The flag package stops at the first, and an operator who mistyped one
-// name would hear of every other fault only at the next start.
-func sift(fs *flag.FlagSet, args []string) (known, unknown []string) {
+// separateUnknown removes unknown flags, with the value that follows each, from the
+// arguments. The flag package stops at the first one, so an operator who mistyped a
+// name would learn of all other faults only at the next start.
+func separateUnknown(fs *flag.FlagSet, args []string) (known, unknown []string) {
 	for i := 0; i < len(args); i++ {
 		name, hasValue := flagName(args[i])
 		if name == "" {
@@ -60,7 +60,7 @@
 	return known, unknown
 }
 
-// flagName returns the name of a flag and whether its value stands with it; empty where the argument ends the flags.
+// flagName returns the name of a flag and whether the argument includes its value; the name is empty if the argument isn't a flag.
 func flagName(arg string) (name string, hasValue bool) {
 	trimmed := strings.TrimPrefix(strings.TrimPrefix(arg, "-"), "-")
 	if trimmed == arg || trimmed == "" {
--- a/internal/app/settings/guards.go
+++ b/internal/app/settings/guards.go
@@ -7,29 +7,29 @@
 	"github.com/pkg/errors"
 )
 
-// Guards are the settings that keep answers true and strangers out.
+// Guards are the settings that authenticate peers, keep requests from running twice and bound memory.
 type Guards struct {
-	// Secrets are the fleet's: the first is used towards other daemons, all are accepted from them.
+	// Secrets are the fleet's secrets: this daemon authenticates with the first and accepts all of them from its peers.
 	Secrets []string
-	// OnceIdle is how long a connection to the upstream may be idle before a request that may not be repeated.
+	// OnceIdle is how long a connection to the upstream may have been idle to carry a request that may not be retried.
 	OnceIdle time.Duration
 	// RepeatWindow is how long an idempotency key is remembered after its request.
 	RepeatWindow time.Duration
-	// RepeatKeys bounds the idempotency keys remembered, RepeatBytes the answers kept with them.
+	// RepeatKeys bounds the number of idempotency keys remembered, RepeatBytes the size of the responses kept with them.
 	RepeatKeys  int
 	RepeatBytes int
-	// HeldBytes bounds the bodies of requests that the daemon holds at once.
+	// HeldBytes bounds the total size of the request bodies that the daemon holds at once.
 	HeldBytes int
-	// HeaderBound bounds one request's head in bytes, HeaderTime how long it may take to arrive.
+	// HeaderBound bounds the size of a request's header in bytes, HeaderTime how long it may take to arrive.
 	HeaderBound int
 	HeaderTime  time.Duration
 }
 
-// leastSecret is short enough to type and too long to guess.
-const leastSecret = 16
+// minSecretLength is the minimum number of characters of a secret: few enough to type, and too many to guess.
+const minSecretLength = 16
 
 func (g *Guards) bind(b *binder) {
-	read(b, &g.Secrets, "fleet-secrets", "", "secrets of the fleet, the one in use first, separated by commas; better given in the environment", parseSecrets)
+	bindValue(b, &g.Secrets, "fleet-secrets", "", "secrets of the fleet, the one in use first, separated by commas; better given in the environment", parseSecrets)
 	b.duration(&g.OnceIdle, "once-idle", time.Second, "longest idle time of an upstream's connection for a request that may not be repeated; below the upstream's own", time.Millisecond, time.Minute)
 	b.duration(&g.RepeatWindow, "repeat-window", 10*time.Minute, "how long an idempotency key is remembered", time.Second, time.Hour)
 	b.count(&g.RepeatKeys, "repeat-keys", 20_000, "idempotency keys remembered", 16, 1_000_000)
@@ -45,8 +45,8 @@
 	}
 	all := strings.Split(raw, ",")
 	for i, secret := range all {
-		if len(secret) < leastSecret {
-			return nil, errors.Errorf("secret %d has %d characters, needs %d", i+1, len(secret), leastSecret)
+		if len(secret) < minSecretLength {
+			return nil, errors.Errorf("secret %d has %d characters, expected at least %d", i+1, len(secret), minSecretLength)
 		}
 	}
 	return all, nil
@@ -54,6 +54,6 @@
 
 func (s *Settings) checkGuards(b *binder) {
 	if s.HeldBytes < s.BodyBound {
-		b.fault("-held-bytes (%d) is below -body-bound (%d): the largest body could never be taken", s.HeldBytes, s.BodyBound)
+		b.fault("-held-bytes (%d) is below -body-bound (%d): a body of the largest allowed size would never fit", s.HeldBytes, s.BodyBound)
 	}
 }
--- a/internal/app/settings/settings.go
+++ b/internal/app/settings/settings.go
@@ -19,10 +19,10 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// EnvPrefix stands before a flag's name in its environment variable, as in FOXTAILHOOK_HOST.
+// EnvPrefix precedes a flag's name in its environment variable, as in FOXTAILHOOK_HOST.
 const EnvPrefix = "FOXTAILHOOK"
 
-// Settings is everything a daemon is told at its start.
+// Settings is the configuration of a daemon, which it receives at its start.
 type Settings struct {
 	Guards
 
@@ -62,13 +62,13 @@
 	Shards    int
 }
 
-// Problems lists every fault of the settings; as an error it has one line for each.
+// Problems lists every fault of the settings; its error text has one line for each.
 type Problems []string
 
-// Error returns the problems, a line each.
+// Error returns the problems, one per line.
 func (p Problems) Error() string { return strings.Join(p, "\n") }
 
-// Parse reads flags and environment; the error is flag.ErrHelp, or Problems with every fault.
+// Parse reads flags and environment variables; the error is flag.ErrHelp, or Problems with every fault.
 func Parse(args []string, help io.Writer) (Settings, error) {
 	var s Settings
 	fs := flag.NewFlagSet("foxtailhook", flag.ContinueOnError)
@@ -76,7 +76,7 @@
 	fs.Usage = func() { usage(fs, help) }
 	b := &binder{fs: fs}
 	s.bind(b)
-	known, unknown := sift(fs, args)
+	known, unknown := separateUnknown(fs, args)
 	for _, name := range unknown {
 		b.fault("%s is not a setting; -h lists them", name)
 	}
@@ -97,7 +97,7 @@
 	return s, nil
 }
 
-// Default returns the settings of a daemon that is told nothing; host, service and availability zone are missing.
+// Default returns the default settings; host, service and availability zone have none and are empty.
 func Default() Settings {
 	var s Settings
 	b := &binder{fs: flag.NewFlagSet("foxtailhook", flag.ContinueOnError)}
@@ -106,14 +106,14 @@
 	return s
 }
 
-// Check returns Problems with every fault of settings that were not parsed, or nil.
+// Check checks settings that were assigned rather than parsed; it returns Problems with every fault, or nil.
 func (s *Settings) Check() error {
 	b := &binder{fs: flag.NewFlagSet("foxtailhook", flag.ContinueOnError)}
-	var bound Settings
-	bound.bind(b)
-	bound = *s // binding wrote the defaults; what is checked are the values set.
-	b.obey()
-	bound.check(b)
+	var checked Settings
+	checked.bind(b)
+	checked = *s // binding wrote the defaults; check the assigned values instead.
+	b.checkBounds()
+	checked.check(b)
 	if len(b.problems) > 0 {
 		return b.problems
 	}
@@ -165,20 +165,20 @@
 		b.fault("%v", err)
 	}
 	s.checkGuards(b)
-	seen := map[netip.AddrPort]string{}
-	own := []struct {
+	flagByAddress := map[netip.AddrPort]string{}
+	listeners := []struct {
 		flag    string
 		address netip.AddrPort
 	}{{"callers", s.Callers}, {"peers", s.Peers}, {"operators", s.Operators}}
-	for _, o := range own {
-		if first, dup := seen[o.address]; dup && o.address.IsValid() {
-			b.fault("-%s and -%s are both %s", first, o.flag, o.address)
+	for _, listener := range listeners {
+		if first, dup := flagByAddress[listener.address]; dup && listener.address.IsValid() {
+			b.fault("-%s and -%s are both %s", first, listener.flag, listener.address)
 		}
-		seen[o.address] = o.flag
+		flagByAddress[listener.address] = listener.flag
 	}
 }
 
-// Limits returns the times that the fleet's rates rest on.
+// Limits returns the parameters of the fleet's rate limiting: the defaults with this daemon's fence, loan time and number of shards.
 func (s *Settings) Limits() rate.Limits {
 	l := rate.DefaultLimits()
 	l.Fence, l.Loan, l.Shards = s.Fence, s.Loan, s.Shards
--- a/internal/app/settings/settings_test.go
+++ b/internal/app/settings/settings_test.go
@@ -13,23 +13,23 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/queue"
 )
 
-var least = []string{"-host", "h", "-service", "s", "-zone", "z"}
+var requiredFlags = []string{"-host", "h", "-service", "s", "-zone", "z"}
 
 func TestParse(t *testing.T) {
 	Convey("Settings come from flags and environment", t, func() {
 		t.Setenv("FOXTAILHOOK_DEFAULT_TIMEOUT", "750ms")
-		s, err := Parse(append(least, "-slots", "9"), &bytes.Buffer{})
+		s, err := Parse(append(requiredFlags, "-slots", "9"), &bytes.Buffer{})
 		So(err, ShouldBeNil)
 		So(s.Slots, ShouldEqual, 9)
 		So(s.DefaultTimeout, ShouldEqual, 750*time.Millisecond)
 	})
-	Convey("Every fault is told in one go", t, func() {
+	Convey("All faults are reported at once", t, func() {
 		_, err := Parse([]string{"-slots", "0", "-callers", "here", "-zone", "z", "-watch", "1h"}, &bytes.Buffer{})
 		problems, ok := err.(Problems)
 		So(ok, ShouldBeTrue)
 		So(problems, ShouldHaveLength, 5)
 	})
-	Convey("An unknown flag hides no other fault", t, func() {
+	Convey("An unknown flag doesn't hide other faults", t, func() {
 		cases := []struct {
 			args   []string
 			faults int
@@ -42,16 +42,16 @@
 			{[]string{"-slots"}, 1},
 		}
 		for _, c := range cases {
-			_, err := Parse(append(slices.Clone(least), c.args...), &bytes.Buffer{})
+			_, err := Parse(append(slices.Clone(requiredFlags), c.args...), &bytes.Buffer{})
 			So(err, ShouldHaveLength, c.faults)
 		}
 	})
-	Convey("Choices are taken by name, and others are refused", t, func() {
-		s, err := Parse(append(least, "-limit", "aimd", "-queue", "lifo"), &bytes.Buffer{})
+	Convey("Choices are accepted by name, and unknown names are rejected", t, func() {
+		s, err := Parse(append(requiredFlags, "-limit", "aimd", "-queue", "lifo"), &bytes.Buffer{})
 		So(err, ShouldBeNil)
 		So(s.Limit, ShouldEqual, limit.AIMD)
 		So(s.Queue, ShouldEqual, queue.LIFO)
-		_, err = Parse(append(least, "-limit", "magic", "-queue", ""), &bytes.Buffer{})
+		_, err = Parse(append(requiredFlags, "-limit", "magic", "-queue", ""), &bytes.Buffer{})
 		So(err, ShouldHaveLength, 2)
 	})
 	Convey("Help lists the flags", t, func() {
