--- a/internal/app/program/run.go
+++ b/internal/app/program/run.go
@@ -13,8 +13,8 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// Run runs the command that the process' arguments name, until it ends or
-// SIGTERM or SIGINT comes, and returns the exit code: 0, or 1 after an error.
+// Run runs the command that the process's arguments name, cancels its context on
+// SIGTERM or SIGINT, and returns the exit code: 0, or 1 after an error.
 func Run(name, help string, commands ...*ffcli.Command) int {
 	names := make([]string, len(commands))
 	for i, c := range commands {
@@ -37,6 +37,7 @@
 	return 0
 }
 
+// noCommand runs if the first argument names none of the commands.
 func noCommand(_ context.Context, args []string) error {
 	if len(args) > 0 {
 		return fmt.Errorf("no command is called %q", args[0])
