--- a/internal/app/telemetry/bench_test.go
+++ b/internal/app/telemetry/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-func decision(log *logrus.Logger) {
+func logDecision(log *logrus.Logger) {
 	log.WithFields(logrus.Fields{
 		"decision": "place", "requestId": "0193c1f0-5f3e-7bb4-b0a2-7e8f2f9d3c11", "organisation": "dealer-lublin", "operation": "lookup.find",
 		"service": "lookup", "host": "lookup-2", "zone": "b", "attempt": 1, "depth": 0, "budget": 4,
@@ -25,13 +25,13 @@
 	return f
 }
 
-// BenchmarkDecisionLine is what one line of the log costs the request that it is about.
+// BenchmarkDecisionLine measures what logging one decision costs a request.
 func BenchmarkDecisionLine(b *testing.B) {
 	b.Run("direct", func(b *testing.B) {
 		log := NewLog(openLog(b), logrus.InfoLevel)
 		b.ReportAllocs()
 		for b.Loop() {
-			decision(log)
+			logDecision(log)
 		}
 	})
 	b.Run("buffered", func(b *testing.B) {
@@ -39,7 +39,7 @@
 		log := NewLog(out, logrus.InfoLevel)
 		b.ReportAllocs()
 		for b.Loop() {
-			decision(log)
+			logDecision(log)
 		}
 		if err := out.Close(); err != nil {
 			b.Fatal(err)
@@ -49,7 +49,7 @@
 		log := NewLog(openLog(b), logrus.InfoLevel)
 		b.RunParallel(func(p *testing.PB) {
 			for p.Next() {
-				decision(log)
+				logDecision(log)
 			}
 		})
 	})
@@ -58,7 +58,7 @@
 		log := NewLog(out, logrus.InfoLevel)
 		b.RunParallel(func(p *testing.PB) {
 			for p.Next() {
-				decision(log)
+				logDecision(log)
 			}
 		})
 		if err := out.Close(); err != nil {
@@ -67,7 +67,7 @@
 	})
 }
 
-// BenchmarkAnswerMetrics is what counting one answer costs.
+// BenchmarkAnswerMetrics measures what counting one response costs.
 func BenchmarkAnswerMetrics(b *testing.B) {
 	m := NewMetrics("lookup-1", "a")
 	defer m.Close()
--- a/internal/app/telemetry/buffered.go
+++ b/internal/app/telemetry/buffered.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Buffered gathers the lines of a log and writes many at once; Close writes what is left.
+// Buffered is a log writer that collects lines and writes many at once; Close writes the rest.
 //
-// At full load each decision would otherwise pay for a system call of its own. Whoever reads the log may be slow, or stop
-// reading: a write to it then blocks for as long, and must not hold up requests. Lines come in without a wait; those that find
-// the buffer full are dropped, counted, and told of in a line of their own.
+// Without it, each decision under full load would cost a system call. The log's reader may also be slow or stop reading, and a
+// write that blocks on it must not delay requests. So until Close, Write never waits for out: lines that find the buffer full are
+// dropped, and the next flush logs their number.
 type Buffered struct {
 	mu      sync.Mutex
 	pending []byte
@@ -20,69 +20,69 @@
 	err     error
 
 	out io.Writer
-	// writing belongs to whoever writes to out.
-	writing sync.Mutex
-	wake    chan struct{}
-	done    chan struct{}
+	// writeMu is held while out is written to.
+	writeMu  sync.Mutex
+	flushNow chan struct{}
+	done     chan struct{}
 }
 
 const (
-	// flushSize is how much gathers before it is written ahead of time.
-	flushSize = 64 << 10
-	// bufferSize is how much may wait for a reader of the log that is behind, some thousand lines.
-	bufferSize = 2 << 20
-	// flushEvery bounds how old a line gets before others see it, and what a crash loses.
-	flushEvery = 100 * time.Millisecond
+	// flushThreshold is the number of pending bytes that triggers a flush before flushInterval has passed.
+	flushThreshold = 64 << 10
+	// maxPending bounds the bytes that wait for a slow reader of the log: several thousand lines.
+	maxPending = 2 << 20
+	// flushInterval bounds the delay before a line is written, and so also what a crash loses.
+	flushInterval = 100 * time.Millisecond
 )
 
-// NewBuffered returns a writer that passes on to out at least every 100 ms.
+// NewBuffered returns a writer that writes pending lines to out every 100 ms, or earlier if many are pending.
 func NewBuffered(out io.Writer) *Buffered {
-	b := &Buffered{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	b := &Buffered{out: out, flushNow: make(chan struct{}, 1), done: make(chan struct{})}
 	go b.run()
 	return b
 }
 
 func (b *Buffered) run() {
-	tick := time.NewTicker(flushEvery)
+	tick := time.NewTicker(flushInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-b.done:
 			return
-		case <-b.wake:
+		case <-b.flushNow:
 		case <-tick.C:
 		}
 		_ = b.Flush()
 	}
 }
 
-// Write takes over the bytes, and writes them through once closed; the error is that of an earlier write to out.
+// Write appends p to the pending bytes, and flushes at once after Close. Before that, the error is that of the latest write to out.
 func (b *Buffered) Write(p []byte) (int, error) {
 	b.mu.Lock()
-	if len(b.pending)+len(p) > bufferSize {
+	if len(b.pending)+len(p) > maxPending {
 		b.dropped++
 		b.mu.Unlock()
 		return len(p), nil
 	}
 	b.pending = append(b.pending, p...)
-	full, closed, err := len(b.pending) >= flushSize, b.closed, b.err
+	full, closed, err := len(b.pending) >= flushThreshold, b.closed, b.err
 	b.mu.Unlock()
 	if closed {
 		return len(p), b.Flush()
 	}
 	if full {
 		select {
-		case b.wake <- struct{}{}:
+		case b.flushNow <- struct{}{}:
 		default:
 		}
 	}
 	return len(p), err
 }
 
-// Flush writes what has been gathered; the error is the underlying writer's.
+// Flush writes the pending bytes; the error is the underlying writer's.
 func (b *Buffered) Flush() error {
-	b.writing.Lock()
-	defer b.writing.Unlock()
+	b.writeMu.Lock()
+	defer b.writeMu.Unlock()
 	b.mu.Lock()
 	out, dropped := b.pending, b.dropped
 	b.pending, b.dropped = nil, 0
@@ -100,7 +100,7 @@
 	return err
 }
 
-// Close writes what is left, and later lines are written at once; the error is the underlying writer's.
+// Close flushes and stops the periodic flushes; later lines are written at once. The error is the underlying writer's.
 func (b *Buffered) Close() error {
 	b.mu.Lock()
 	if !b.closed {
--- a/internal/app/telemetry/formatter.go
+++ b/internal/app/telemetry/formatter.go
@@ -11,31 +11,31 @@
 )
 
 // formatter writes an entry as one JSON object with sorted keys, like
-// logrus.JSONFormatter, without going through reflection for the plain values
-// that a decision's line consists of.
+// logrus.JSONFormatter, but without reflection for the plain values that the
+// line of a decision consists of.
 //
-// At 2,000 calls/s every decision has its line, and encoding it is nearly all
-// that the line costs.
+// Every decision is logged, also at 2,000 calls/s, and encoding is nearly the
+// whole cost of a line.
 type formatter struct{}
 
-// Names of the fields that every line has.
+// Fields that every line has.
 const (
 	fieldLevel   = "level"
 	fieldMessage = "msg"
 	fieldTime    = "time"
 )
 
-// Format returns the entry's line; the error is always nil, since what can't be encoded is written as text.
+// Format returns the entry's line; the error is always nil, since a value without a JSON encoding is written as text.
 func (formatter) Format(e *logrus.Entry) ([]byte, error) {
 	keys := make([]string, 0, len(e.Data))
 	for k := range e.Data {
 		keys = append(keys, k)
 	}
 	slices.Sort(keys)
-	line := make([]byte, 0, lineSize)
+	line := make([]byte, 0, lineCapacity)
 	line = append(line, '{')
 	for _, k := range keys {
-		line = appendText(line, own(k))
+		line = appendText(line, uniqueKey(k))
 		line = append(line, ':')
 		line = appendValue(line, e.Data[k])
 		line = append(line, ',')
@@ -48,11 +48,11 @@
 	return append(line, '}', '\n'), nil
 }
 
-// lineSize is room for a decision's line.
-const lineSize = 512
+// lineCapacity is enough bytes for the line of a decision without growing the slice.
+const lineCapacity = 512
 
-// own renames a field that would stand twice in the line.
-func own(key string) string {
+// uniqueKey renames a field whose key every line already has.
+func uniqueKey(key string) string {
 	switch key {
 	case fieldLevel, fieldMessage, fieldTime:
 		return "fields." + key
@@ -83,12 +83,12 @@
 	case error:
 		return appendText(line, v.Error())
 	default:
-		return appendOther(line, v)
+		return appendJSON(line, v)
 	}
 }
 
-// appendOther encodes what is no plain value, and what can't be encoded as its text.
-func appendOther(line []byte, value any) []byte {
+// appendJSON appends the JSON encoding of a value, or its text if it has none.
+func appendJSON(line []byte, value any) []byte {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		return appendText(line, fmt.Sprint(value))
@@ -97,7 +97,7 @@
 }
 
 func appendText(line []byte, s string) []byte {
-	if plain(s) {
+	if isPlain(s) {
 		line = append(line, '"')
 		line = append(line, s...)
 		return append(line, '"')
@@ -106,8 +106,8 @@
 	return append(line, raw...)
 }
 
-// plain reports whether the text stands for itself in JSON.
-func plain(s string) bool {
+// isPlain reports whether the text needs no escaping in JSON.
+func isPlain(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
 			return false
--- a/internal/app/telemetry/log_test.go
+++ b/internal/app/telemetry/log_test.go
@@ -15,9 +15,9 @@
 	"pgregory.net/rapid"
 )
 
-func TestLinesAreAsLogrusWritesThem(t *testing.T) {
-	// A line that is no JSON, or that a value has broken out of, is lost to
-	// whoever looks for the decision: it can't be found by its request.
+func TestFormatterMatchesLogrus(t *testing.T) {
+	// Guards against a line that isn't valid JSON, or that a value has split in
+	// two: the decision could not be found by its request id any more.
 	rapid.Check(t, func(t *rapid.T) {
 		fields := logrus.Fields{}
 		for i := range rapid.IntRange(0, 6).Draw(t, "fields") {
@@ -42,20 +42,20 @@
 		if bytes.Count(got, []byte("\n")) != 1 {
 			t.Fatalf("not one line: %q", got)
 		}
-		var a, b map[string]any
-		if err := json.Unmarshal(got, &a); err != nil {
+		var gotFields, wantFields map[string]any
+		if err := json.Unmarshal(got, &gotFields); err != nil {
 			t.Fatalf("%v: %q", err, got)
 		}
-		if err := json.Unmarshal(want, &b); err != nil {
+		if err := json.Unmarshal(want, &wantFields); err != nil {
 			t.Fatal(err)
 		}
-		if fmt.Sprint(a) != fmt.Sprint(b) {
+		if fmt.Sprint(gotFields) != fmt.Sprint(wantFields) {
 			t.Fatalf("got %q, logrus %q", got, want)
 		}
 	})
 }
 
-func TestWhatCannotBeEncodedKeepsItsLine(t *testing.T) {
+func TestFormatterWritesUnencodableValues(t *testing.T) {
 	Convey("A value without a JSON form is written as text", t, func() {
 		var out bytes.Buffer
 		NewLog(&out, logrus.InfoLevel).WithField("odd", func() {}).WithField("level", "x").Info("m")
@@ -67,21 +67,21 @@
 }
 
 func TestBufferedLosesNoLine(t *testing.T) {
-	// A daemon is told to stop while requests end. The lines of its last tenth
-	// of a second tell what became of them; one that stays in the buffer is gone.
-	Convey("Every line is there once the writer is closed, and later ones too", t, func() {
+	// Guards against losing the last lines at a shutdown: they are still in the
+	// buffer and hold the outcomes of the last requests.
+	Convey("After Close, all earlier lines are written, and later ones are written at once", t, func() {
 		var out bytes.Buffer
 		b := NewBuffered(&out)
 		log := NewLog(b, logrus.InfoLevel)
-		var all sync.WaitGroup
+		var writers sync.WaitGroup
 		for range 8 {
-			all.Go(func() {
+			writers.Go(func() {
 				for range 500 {
 					log.WithField("decision", "place").Info(strings.Repeat("x", 100))
 				}
 			})
 		}
-		all.Wait()
+		writers.Wait()
 		So(b.Close(), ShouldBeNil)
 		So(bytes.Count(out.Bytes(), []byte("\n")), ShouldEqual, 4000)
 		log.Info("late")
@@ -90,35 +90,35 @@
 	})
 }
 
-// stuck is a reader of the log that has stopped: writes to it wait until it goes on.
-type stuck struct {
-	goOn chan struct{}
-	out  bytes.Buffer
+// blockedWriter blocks writes until unblock is closed, as a pipe does whose reader has stopped reading.
+type blockedWriter struct {
+	unblock chan struct{}
+	out     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.goOn
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	return s.out.Write(p)
 }
 
-func TestReaderOfTheLogThatStops(t *testing.T) {
-	// Whoever collects the logs hangs, and the pipe to it is full. A daemon that waits for it answers nobody any more.
-	Convey("Lines come in without a wait, those beyond the bound are dropped, and their number is told", t, func() {
-		out := &stuck{goOn: make(chan struct{})}
+func TestBufferedDropsLinesWhenBlocked(t *testing.T) {
+	// Guards against a daemon that stops answering because the log collector hangs and the pipe to it is full.
+	Convey("Writes don't block, lines beyond the bound are dropped, and their number is logged", t, func() {
+		out := &blockedWriter{unblock: make(chan struct{})}
 		b := NewBuffered(out)
 		line := []byte(strings.Repeat("x", 1023) + "\n")
-		const lines = 3 * bufferSize / 1024
+		const lines = 3 * maxPending / 1024
 		for range lines {
 			n, err := b.Write(line)
 			So(n == len(line) && err == nil, ShouldBeTrue)
 		}
-		close(out.goOn)
+		close(out.unblock)
 		So(b.Close(), ShouldBeNil)
 		written := out.out.String()
-		var told struct{ Dropped int }
+		var notice struct{ Dropped int }
 		last := strings.TrimSpace(written[strings.LastIndexByte(strings.TrimSpace(written), '\n')+1:])
-		So(json.Unmarshal([]byte(last), &told), ShouldBeNil)
-		So(told.Dropped, ShouldBeGreaterThan, 0)
-		So(strings.Count(written, "x\n")+told.Dropped, ShouldEqual, lines)
+		So(json.Unmarshal([]byte(last), &notice), ShouldBeNil)
+		So(notice.Dropped, ShouldBeGreaterThan, 0)
+		So(strings.Count(written, "x\n")+notice.Dropped, ShouldEqual, lines)
 	})
 }
--- a/internal/app/telemetry/metric.go
+++ b/internal/app/telemetry/metric.go
@@ -2,10 +2,10 @@
 
 //go:generate stringer -type=Metric -linecomment
 
-// Metric names one metric of the daemon; its name in /metrics has the product's before it.
+// Metric names one metric of the daemon; /metrics shows it with Prefix before the name.
 type Metric uint8
 
-// The metrics of the daemon; Described tells what each counts.
+// The metrics of the daemon; Described returns their meanings.
 const (
 	Answers         Metric = iota // answers
 	AnswerSeconds                 // answer_seconds
@@ -40,14 +40,14 @@
 // MetricCount is the number of metrics.
 const MetricCount = int(StoreCalls) + 1
 
-// Description is what operators are told of a metric.
+// Description describes a metric for operators.
 type Description struct {
 	Metric  Metric
 	Meaning string
 	Unit    string
-	// Tags are those that it has beside host and zone, separated by commas; empty means none.
+	// Tags are the metric's tags besides host and zone, separated by commas; empty if there are none.
 	Tags string
-	// Look says when it is worth a look.
+	// Look says which values need an operator's attention.
 	Look string
 }
 
@@ -60,26 +60,26 @@
 	GateRan:         {Meaning: "requests that the upstream ran", Unit: "count", Look: "goodput of this host"},
 	GateWaited:      {Meaning: "requests that had to wait", Unit: "count"},
 	GateRefused:     {Meaning: "requests refused since the queue had no place for them", Unit: "count", Look: "overload of this host"},
-	GateEvicted:     {Meaning: "requests pushed out of the queue by more important ones or by those owed more", Unit: "count", Look: "overload of this host"},
+	GateEvicted:     {Meaning: "requests evicted from the queue in favour of a higher priority, or of an organisation that is further below its fair share", Unit: "count", Look: "overload of this host"},
 	GateExpired:     {Meaning: "requests that waited for longer than `-queue-time` or their deadline allows", Unit: "count", Look: "overload of this host"},
 	GateShed:        {Meaning: "requests that the upstream itself refused to run", Unit: "count", Look: "compare `-slots` with what the upstream runs at once"},
-	DoorsClosing:    {Meaning: "pairs of organisation and operation that are refused in part at the door, since the chain below is overloaded", Unit: "pairs", Look: "above 0: look for the overloaded service deeper in the chain"},
+	DoorsClosing:    {Meaning: "pairs of organisation and operation that are rejected in part at the ingress, since a service deeper in the chain is overloaded", Unit: "pairs", Look: "above 0: look for the overloaded service deeper in the chain"},
 	Serving:         {Meaning: "1 while callers are taken, else 0", Unit: "none", Look: "0 for longer than a start takes: `standing` in `/statusz` tells why"},
 	ListVersion:     {Meaning: "version in force", Unit: "version", Tags: "list", Look: "differs between hosts for more than 3 s"},
 	MembersLeaving:  {Meaning: "hosts that get no new work since they said that they leave", Unit: "hosts", Look: "above 0 for 10 minutes: take them out of the hosts list"},
-	MembersSuspect:  {Meaning: "hosts that get no new work since they don't answer", Unit: "hosts", Look: "many at once on one side: a cut of the network"},
+	MembersSuspect:  {Meaning: "hosts that get no new work since they don't answer", Unit: "hosts", Look: "many at once on one side: a network partition"},
 	RateShards:      {Meaning: "rate shards whose home the daemon is", Unit: "shards", Look: "0 on a listed host: `rates` in `/statusz` tells why"},
-	RateTokensOut:   {Meaning: "tokens lent and not yet told of", Unit: "tokens"},
+	RateTokensOut:   {Meaning: "tokens on loan: lent, and neither reported as spent nor given back", Unit: "tokens"},
 	RateTokensLent:  {Meaning: "tokens lent since the start", Unit: "tokens"},
-	RateAsks:        {Meaning: "questions to homes since the start", Unit: "count"},
+	RateAsks:        {Meaning: "lease requests to homes since the start", Unit: "count"},
 	RateWaits:       {Meaning: "requests that found no token at hand and waited for homes to lend one", Unit: "count", Look: "grows faster than `overRate` answers: tokens arrive too late here"},
-	RateGivenBack:   {Meaning: "tokens of requests that were refused after all, given back", Unit: "count", Look: "grows with overload: callers inside their rate don't pay for its refusals"},
+	RateGivenBack:   {Meaning: "tokens of requests that were refused after all, given back", Unit: "count", Look: "grows with overload: a request that is refused after all doesn't count against its organisation's rate"},
 	PeerConnections: {Meaning: "open connections with other daemons", Unit: "connections"},
 	PeerFaults:      {Meaning: "connections on the peer port closed for a fault", Unit: "count", Look: "grows: strangers on the port, or another `-fleet-secrets`; the log has their addresses"},
 	PeerBytesSent:   {Meaning: "bytes of frames sent to other daemons", Unit: "bytes", Tags: "message", Look: "control is `digest`, `fetch`, `lease`, `confirm` and `handover`; 4 KB/s are planned for"},
 	PeerBytesGot:    {Meaning: "bytes of frames received from other daemons", Unit: "bytes", Tags: "message"},
-	WordAge:         {Meaning: "age of the collector's word when it was last heard", Unit: "seconds", Look: "above 1: plans and rates are of another moment; see `collector lost` in the log"},
-	StoreCalls:      {Meaning: "readings of the platform's store: of all, or of what changed", Unit: "count", Tags: "call, outcome", Look: "many of all: starts, or lost history"},
+	WordAge:         {Meaning: "age of the collector's plan when it was last received", Unit: "seconds", Look: "above 1: plans and rates are out of date; see `collector lost` in the log"},
+	StoreCalls:      {Meaning: "calls to the platform's store: reads of everything (`all`), or watches for `changes`", Unit: "count", Tags: "call, outcome", Look: "many of `all`: daemons that start, or a store that has lost its history"},
 }
 
 // Described returns every metric with its description.
