--- a/internal/standin/platform/doc.go
+++ b/internal/standin/platform/doc.go
@@ -1,2 +1,2 @@
-// Package platform is a small stand-in for the configuration service, for demos and tests.
+// Package platform is a minimal configuration service for demos and tests.
 package platform
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -12,7 +12,7 @@
 )
 
 // Handler returns the stand-in's HTTP interface: reads and watches for daemons,
-// PUT and the fault switch for whoever plays the operators.
+// and publishing and fault modes for the operators of a demo or test.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/lists/{list}", s.serveRead)
@@ -30,8 +30,8 @@
 	}
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	waitMs, _ := strconv.Atoi(r.URL.Query().Get("waitMs"))
-	limit := time.NewTimer(time.Duration(waitMs) * time.Millisecond)
-	defer limit.Stop()
+	timeout := time.NewTimer(time.Duration(waitMs) * time.Millisecond)
+	defer timeout.Stop()
 	for first := true; ; first = false {
 		value, mode, changed := s.Read(kind, first)
 		if mode == Down {
@@ -47,15 +47,15 @@
 		case <-changed:
 		case <-r.Context().Done():
 			return
-		case <-limit.C:
+		case <-timeout.C:
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
 	}
 }
 
-// publishBound lets tests publish a value that is larger than the platform allows.
-const publishBound = 4 << 20
+// maxPublishBytes is above the platform's limit, so that tests can publish a value that daemons reject as too large.
+const maxPublishBytes = 4 << 20
 
 func (s *Store) servePublish(w http.ResponseWriter, r *http.Request) {
 	kind, ok := lists.ParseKind(r.PathValue("list"))
@@ -63,7 +63,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	raw, err := io.ReadAll(io.LimitReader(r.Body, publishBound))
+	raw, err := io.ReadAll(io.LimitReader(r.Body, maxPublishBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -9,7 +9,7 @@
 
 //go:generate stringer -type=Mode -linecomment
 
-// Mode is how the stand-in answers readers.
+// Mode is how the stand-in responds to reads.
 type Mode uint8
 
 const (
@@ -17,14 +17,14 @@
 	Up Mode = iota // up
 	// Down answers every read with 503.
 	Down // down
-	// Stale serves what was newest when this mode began.
+	// Stale serves the values that were the newest when the mode was set.
 	Stale // stale
 )
 
 // ParseMode returns the mode with the given name, or false.
 func ParseMode(name string) (Mode, bool) { return enum.Parse(name, Stale) }
 
-// Store holds the published values and wakes waiting watches.
+// Store holds the published values and wakes waiting watches at each change.
 type Store struct {
 	mu      sync.Mutex
 	newest  [lists.Kinds]lists.Value
@@ -50,7 +50,7 @@
 	return version
 }
 
-// Set changes how readers are answered.
+// Set changes the mode.
 func (s *Store) Set(m Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +66,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Read returns the served value, the mode, and a channel that closes at the next change; it counts as one call if count is set.
+// Read returns the served value, the mode, and a channel that is closed at the next change; Reads counts the call if count is set.
 func (s *Store) Read(kind lists.Kind, count bool) (lists.Value, Mode, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 	return s.served[kind], s.mode, s.changed
 }
 
-// Reads returns the number of calls so far, a waiting watch as one.
+// Reads returns the number of calls so far; a watch counts once, however often it wakes.
 func (s *Store) Reads() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/upstream/doc.go
+++ b/internal/standin/upstream/doc.go
@@ -1,2 +1,2 @@
-// Package upstream is a small stand-in for an upstream with slots, latency and calls of its own, for demos and tests.
+// Package upstream is a stand-in for an upstream with a number of slots, a latency and sub-calls, for demos and tests.
 package upstream
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -16,27 +16,27 @@
 	wire "github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// Config is what a stand-in upstream is told at its start.
+// Config is the configuration of a stand-in upstream.
 type Config struct {
 	Host    string
 	Service string
 	Slots   int
 	Latency time.Duration
-	// Daemon is where the upstream's own calls go.
+	// Daemon is where sub-calls go.
 	Daemon netip.AddrPort
-	// Next is the path below the daemon that each request calls on, such as /repairs/notes; empty for none.
+	// Next is the path of the sub-call that each request makes through the daemon, such as /repairs/notes; empty for none.
 	Next string
-	// Countdown takes the body as the number of calls below this one, and passes on one less.
+	// Countdown reads the body as the remaining depth of sub-calls, and sends one less with the sub-call.
 	Countdown bool
-	// Retries is how often it repeats its own call when that fails, as home-made retry loops do.
+	// Retries is how often a failed sub-call is retried, at once and without a budget, as an application's own retry loop would.
 	Retries int
-	// Lossy closes the connection in place of each answer.
+	// Lossy closes the connection instead of responding.
 	Lossy bool
-	// Trace keeps each run with its time, for as long as the stand-in lives.
+	// Trace keeps a record of each run, for the whole life of the stand-in.
 	Trace bool
 }
 
-// Run is one run of the trace.
+// Run is one entry of the trace.
 type Run struct {
 	Organisation string    `json:"organisation"`
 	RequestID    string    `json:"requestId"`
@@ -44,7 +44,7 @@
 	At           time.Time `json:"at"`
 }
 
-// Upstream answers requests with who asked and what was asked, and counts its runs.
+// Upstream echoes each request with its organisation, and counts its runs.
 type Upstream struct {
 	config  Config
 	slots   chan struct{}
@@ -55,12 +55,13 @@
 	runs  map[string]int
 	keys  map[string]int
 	trace []Run
-	// held is closed when the runs that are held go on, nil while none are; only runs of heldBody are if it isn't empty.
-	held     chan struct{}
+	// release is closed to let held runs continue, and nil while none are held; if heldBody isn't empty, only runs with that body
+	// are held.
+	release  chan struct{}
 	heldBody string
 }
 
-// Answer is the JSON body of a stand-in's answer.
+// Answer is the JSON body of a stand-in's response.
 type Answer struct {
 	Service      string          `json:"service"`
 	Host         string          `json:"host"`
@@ -71,17 +72,17 @@
 	Next         json.RawMessage `json:"next,omitempty"`
 }
 
-// HeaderServiceTime carries the microseconds that the stand-in spent on the request.
+// HeaderServiceTime carries the microseconds that the stand-in spent on the request, sub-calls included.
 const HeaderServiceTime = "Standin-Service-Micros"
 
-const clientConns = 256
+const maxIdleConns = 256
 
 // New returns a stand-in upstream.
 func New(c Config) *Upstream {
 	u := &Upstream{
 		config: c,
 		slots:  make(chan struct{}, c.Slots),
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clientConns}},
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
 		runs:   map[string]int{},
 		keys:   map[string]int{},
 	}
@@ -105,7 +106,7 @@
 }
 
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
-	begun := time.Now()
+	start := time.Now()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -120,8 +121,8 @@
 		return
 	}
 	defer func() { <-u.slots }()
-	u.count(r, body)
-	if !u.work(r.Context(), string(body)) {
+	u.recordRun(r, body)
+	if !u.waitLatency(r.Context(), string(body)) {
 		return
 	}
 	answer := Answer{
@@ -132,9 +133,9 @@
 	if u.config.Lossy {
 		panic(http.ErrAbortHandler)
 	}
-	below, on := u.below(body)
-	if on {
-		next, status, err := u.callOn(r.Context(), r.Header, below)
+	subcallBody, hasSubcall := u.subcall(body)
+	if hasSubcall {
+		next, status, err := u.callWithRetries(r.Context(), r.Header, subcallBody)
 		if err != nil || status != http.StatusOK {
 			http.Error(w, fmt.Sprintf("next: status %d: %v", status, err), http.StatusBadGateway)
 			return
@@ -143,14 +144,14 @@
 	}
 	raw, _ := json.Marshal(answer)
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set(HeaderServiceTime, strconv.FormatInt(time.Since(begun).Microseconds(), 10))
+	w.Header().Set(HeaderServiceTime, strconv.FormatInt(time.Since(start).Microseconds(), 10))
 	_, _ = w.Write(raw)
 }
 
-// work takes the stand-in's latency, and as long as runs are held; false means that the caller is gone.
-func (u *Upstream) work(ctx context.Context, body string) bool {
+// waitLatency waits while the run is held and then for the configured latency; it returns false if the caller has left.
+func (u *Upstream) waitLatency(ctx context.Context, body string) bool {
 	select {
-	case <-u.holding(body):
+	case <-u.releaseOf(body):
 	case <-ctx.Done():
 		return false
 	}
@@ -162,49 +163,49 @@
 	return true
 }
 
-// holding returns what a run waits for before its latency.
-func (u *Upstream) holding(body string) chan struct{} {
+// releaseOf returns the channel whose closing lets a run with this body continue.
+func (u *Upstream) releaseOf(body string) chan struct{} {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.held == nil || u.heldBody != "" && u.heldBody != body {
-		return released
+	if u.release == nil || u.heldBody != "" && u.heldBody != body {
+		return notHeld
 	}
-	return u.held
+	return u.release
 }
 
-// released is what a run waits for that is not held.
-var released = func() chan struct{} {
+// notHeld is the closed channel for runs that are not held.
+var notHeld = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// below returns the body of the upstream's own call, or false if it makes none.
-func (u *Upstream) below(body []byte) ([]byte, bool) {
+// subcall returns the body of the request's sub-call, or false if it makes none.
+func (u *Upstream) subcall(body []byte) ([]byte, bool) {
 	if u.config.Next == "" || !u.config.Countdown {
 		return body, u.config.Next != ""
 	}
-	left, _ := strconv.Atoi(string(body))
-	return []byte(strconv.Itoa(left - 1)), left > 0
+	remaining, _ := strconv.Atoi(string(body))
+	return []byte(strconv.Itoa(remaining - 1)), remaining > 0
 }
 
-// callOn makes the upstream's own call, and repeats it at once when it fails.
-func (u *Upstream) callOn(ctx context.Context, in http.Header, body []byte) (json.RawMessage, int, error) {
-	for try := 0; ; try++ {
-		raw, status, err := u.callNext(ctx, in, body)
-		if (err == nil && status == http.StatusOK) || try == u.config.Retries {
+// callWithRetries makes a sub-call, and retries it at once when it fails.
+func (u *Upstream) callWithRetries(ctx context.Context, header http.Header, body []byte) (json.RawMessage, int, error) {
+	for attempt := 0; ; attempt++ {
+		raw, status, err := u.callNext(ctx, header, body)
+		if (err == nil && status == http.StatusOK) || attempt == u.config.Retries {
 			return raw, status, err
 		}
 	}
 }
 
-func (u *Upstream) callNext(ctx context.Context, in http.Header, body []byte) (json.RawMessage, int, error) {
+func (u *Upstream) callNext(ctx context.Context, header http.Header, body []byte) (json.RawMessage, int, error) {
 	url := "http://" + u.config.Daemon.String() + u.config.Next
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, 0, err
 	}
-	req.Header.Set(wire.HeaderToken, in.Get(wire.HeaderToken))
+	req.Header.Set(wire.HeaderToken, header.Get(wire.HeaderToken))
 	res, err := u.client.Do(req)
 	if err != nil {
 		return nil, 0, err
@@ -214,7 +215,7 @@
 	return raw, res.StatusCode, err
 }
 
-func (u *Upstream) count(r *http.Request, body []byte) {
+func (u *Upstream) recordRun(r *http.Request, body []byte) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.config.Trace {
@@ -254,19 +255,19 @@
 func (u *Upstream) serveLatency(w http.ResponseWriter, r *http.Request) {
 	ms, err := strconv.Atoi(r.PathValue("ms"))
 	if err != nil || ms < 0 {
-		http.Error(w, "latency must be whole milliseconds", http.StatusBadRequest)
+		http.Error(w, "latency must be a whole number of milliseconds of at least 0", http.StatusBadRequest)
 		return
 	}
 	u.latency.Store(int64(time.Duration(ms) * time.Millisecond))
 	fmt.Fprintln(w, ms)
 }
 
-// serveHold holds runs from now on, those of the body alone if one is given.
+// serveHold holds runs from now on; if a body is given, only those with that body.
 func (u *Upstream) serveHold(w http.ResponseWriter, r *http.Request) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.held == nil {
-		u.held = make(chan struct{})
+	if u.release == nil {
+		u.release = make(chan struct{})
 	}
 	u.heldBody = r.URL.Query().Get("body")
 	fmt.Fprintln(w, "held")
@@ -275,9 +276,9 @@
 func (u *Upstream) serveRelease(w http.ResponseWriter, _ *http.Request) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.held != nil {
-		close(u.held)
-		u.held = nil
+	if u.release != nil {
+		close(u.release)
+		u.release = nil
 	}
 	fmt.Fprintln(w, "released")
 }
