--- a/cmd/foxctl/main.go
+++ b/cmd/foxctl/main.go
@@ -1,4 +1,4 @@
-// Command foxctl is the operators' tool.
+// Command foxctl is the operators' command-line tool.
 package main
 
 import (
--- a/cmd/foxtailbench/main.go
+++ b/cmd/foxtailbench/main.go
@@ -1,4 +1,4 @@
-// Command foxtailbench compares choices of the decisions under load, in virtual time.
+// Command foxtailbench compares admission, queueing, load balancing and retry policies under overload, in simulated time.
 package main
 
 import (
@@ -28,8 +28,8 @@
 	}
 }
 
-// choices are the flags.
-type choices struct {
+// options are the values of the flags.
+type options struct {
 	compare, limit, queue, placing string
 	loads, causes, deployments     string
 	seed                           uint64
@@ -40,124 +40,126 @@
 }
 
 func run(args []string) error {
-	var c choices
+	var o options
 	fs := flag.NewFlagSet("foxtailbench", flag.ContinueOnError)
-	fs.StringVar(&c.compare, "compare", "naive", "what to compare: naive, ours (alone), limit, queue, placing, budget, doors, rates, wait, ceiling, or mechanisms (each switched off, in a model of the fleet on the platform)")
-	fs.StringVar(&c.limit, "limit", limit.Gradient.String(), "limit of ours: gradient, aimd or fixed")
-	fs.StringVar(&c.queue, "queue", queue.Fair.String(), "queue of ours: fair, fifo or lifo")
-	fs.StringVar(&c.placing, "placing", placing.TwoChoices.String(), "placing of ours: twoChoices, roundRobin or leastLatency")
-	fs.StringVar(&c.loads, "loads", "1,2,5,10", "multiples of load 1, or of the deepest service's time")
-	fs.StringVar(&c.causes, "causes", "surge,skew,slow,oneSlow,lossy", "causes of trouble to bring about")
-	fs.StringVar(&c.deployments, "deployments", "rejestr,desarrollos", "where to run: rejestr, desarrollos, deep8, deep8fan4 or deep16")
-	fs.Uint64Var(&c.seed, "seed", 1, "seed of all chance")
-	fs.IntVar(&c.seeds, "seeds", 1, "runs of each row, with one seed after the other; of several the table has the median and the worst")
-	fs.IntVar(&c.budget, "budget", chain.Ours().Budget, "upstream runs of one request; 0 for three tries at each hop")
-	fs.Float64Var(&c.ceiling, "ceiling", chain.Ours().Ceiling, "highest limit in slots of an instance")
-	fs.DurationVar(&c.wait, "wait", chain.Ours().Wait, "longest wait for a slot")
-	fs.Float64Var(&c.rates, "rates", 0, "rate of each organisation relative to what it sends at load 1; 0 for none")
-	fs.BoolVar(&c.doors, "doors", true, "refuse at the entry what would fail deeper down")
-	fs.BoolVar(&c.polite, "polite", false, "callers come back when they are told to")
-	fs.BoolVar(&c.json, "json", false, "print JSON instead of a table")
+	fs.StringVar(&o.compare, "compare", "naive", "what to compare: naive (with the daemon's policy, called ours), ours (alone), limit, queue, placing, budget, doors, rates, wait, ceiling, or mechanisms (each disabled in turn, in a model of the fleet on the platform)")
+	fs.StringVar(&o.limit, "limit", limit.Gradient.String(), "limit of ours: gradient, aimd or fixed")
+	fs.StringVar(&o.queue, "queue", queue.Fair.String(), "queue of ours: fair, fifo or lifo")
+	fs.StringVar(&o.placing, "placing", placing.TwoChoices.String(), "placing of ours: twoChoices, roundRobin or leastLatency")
+	fs.StringVar(&o.loads, "loads", "1,2,5,10", "multiples of the deployment's normal load, or of the deepest service's latency")
+	fs.StringVar(&o.causes, "causes", "surge,skew,slow,oneSlow,lossy", "causes of overload or failure to simulate")
+	fs.StringVar(&o.deployments, "deployments", "rejestr,desarrollos", "deployments to simulate: rejestr, desarrollos, deep8, deep8fan4 or deep16")
+	fs.Uint64Var(&o.seed, "seed", 1, "seed of the random numbers")
+	fs.IntVar(&o.seeds, "seeds", 1, "runs of each row, with consecutive seeds; for several runs the table shows the median and the worst")
+	fs.IntVar(&o.budget, "budget", chain.Ours().Budget, "upstream runs that one request may cause; 0 for three attempts at each hop")
+	fs.Float64Var(&o.ceiling, "ceiling", chain.Ours().Ceiling, "highest concurrency limit, as a multiple of an instance's slots")
+	fs.DurationVar(&o.wait, "wait", chain.Ours().Wait, "longest wait for a slot")
+	fs.Float64Var(&o.rates, "rates", 0, "rate limit of each organisation relative to what it sends at normal load; 0 for none")
+	fs.BoolVar(&o.doors, "doors", true, "reject at the ingress what would fail deeper in the call chain")
+	fs.BoolVar(&o.polite, "polite", false, "callers retry only after the Retry-After delay")
+	fs.BoolVar(&o.json, "json", false, "print JSON instead of a table")
 	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix("FOXTAILBENCH")); err != nil {
 		return err
 	}
-	if c.seeds < 1 {
-		return errors.Errorf("-seeds: %d is not a number of at least 1", c.seeds)
+	if o.seeds < 1 {
+		return errors.Errorf("-seeds: %d is not at least 1", o.seeds)
 	}
-	if c.compare == "mechanisms" {
-		return writeAblation(os.Stdout, ablate(c.seed, c.seeds))
+	if o.compare == "mechanisms" {
+		return writeAblation(os.Stdout, ablate(o.seed, o.seeds))
 	}
-	policies, err := c.policies()
+	policies, err := o.policies()
 	if err != nil {
 		return err
 	}
-	loads, err := c.multiples()
+	loads, err := o.parseLoads()
 	if err != nil {
 		return err
 	}
-	all := c.experiments(policies, loads)
-	if len(all) == 0 {
-		return errors.New("nothing to run: no deployment or cause has such a name")
+	experiments := o.experiments(policies, loads)
+	if len(experiments) == 0 {
+		return errors.New("nothing to run: -deployments, -causes and -loads match no experiment")
 	}
-	return c.print(runAll(all))
+	return o.print(runAll(experiments))
 }
 
-func (c *choices) ours() (chain.Policy, error) {
+// basePolicy returns the daemon's policy with the flags applied.
+func (o *options) basePolicy() (chain.Policy, error) {
 	p := chain.Ours()
-	p.Wait = c.wait
-	p.Doors, p.Budget, p.Ceiling, p.Rates = c.doors, c.budget, c.ceiling, c.rates
+	p.Wait = o.wait
+	p.Doors, p.Budget, p.Ceiling, p.Rates = o.doors, o.budget, o.ceiling, o.rates
 	var ok bool
-	if p.Limit, ok = limit.ParseKind(c.limit); !ok {
-		return p, errors.Errorf("-limit: no limit is called %q", c.limit)
+	if p.Limit, ok = limit.ParseKind(o.limit); !ok {
+		return p, errors.Errorf("-limit: no limit is called %q", o.limit)
 	}
-	if p.Queue, ok = queue.ParseKind(c.queue); !ok {
-		return p, errors.Errorf("-queue: no queue is called %q", c.queue)
+	if p.Queue, ok = queue.ParseKind(o.queue); !ok {
+		return p, errors.Errorf("-queue: no queue is called %q", o.queue)
 	}
-	if p.Placing, ok = placing.ParseKind(c.placing); !ok {
-		return p, errors.Errorf("-placing: no placing is called %q", c.placing)
+	if p.Placing, ok = placing.ParseKind(o.placing); !ok {
+		return p, errors.Errorf("-placing: no placing is called %q", o.placing)
 	}
 	return p, nil
 }
 
-func (c *choices) policies() ([]chain.Policy, error) {
-	ours, err := c.ours()
+// policies returns the policies to compare.
+func (o *options) policies() ([]chain.Policy, error) {
+	base, err := o.basePolicy()
 	if err != nil {
 		return nil, err
 	}
-	vary := func(name string, change func(p *chain.Policy)) chain.Policy {
-		p := ours
+	variant := func(name string, change func(p *chain.Policy)) chain.Policy {
+		p := base
 		p.Name = name
 		change(&p)
 		return p
 	}
 	var all []chain.Policy
-	switch c.compare {
+	switch o.compare {
 	case "naive":
-		return []chain.Policy{chain.Naive(), ours}, nil
+		return []chain.Policy{chain.Naive(), base}, nil
 	case "ours":
-		all = append(all, ours)
+		all = append(all, base)
 	case "limit":
 		for k := limit.Gradient; k <= limit.Fixed; k++ {
-			all = append(all, vary(k.String(), func(p *chain.Policy) { p.Limit = k }))
+			all = append(all, variant(k.String(), func(p *chain.Policy) { p.Limit = k }))
 		}
 	case "queue":
 		for k := queue.Fair; k <= queue.LIFO; k++ {
-			all = append(all, vary(k.String(), func(p *chain.Policy) { p.Queue = k }))
+			all = append(all, variant(k.String(), func(p *chain.Policy) { p.Queue = k }))
 		}
 	case "placing":
 		for k := placing.TwoChoices; k <= placing.LeastLatency; k++ {
-			all = append(all, vary(k.String(), func(p *chain.Policy) { p.Placing = k }))
+			all = append(all, variant(k.String(), func(p *chain.Policy) { p.Placing = k }))
 		}
 	case "budget":
 		for _, n := range []int{0, 64, 32, 16, 8, 4} {
-			all = append(all, vary("runs="+strconv.Itoa(n), func(p *chain.Policy) { p.Budget = n }))
+			all = append(all, variant("runs="+strconv.Itoa(n), func(p *chain.Policy) { p.Budget = n }))
 		}
 	case "rates":
 		for _, lent := range []bool{false, true} {
 			name := map[bool]string{false: "exact", true: "lent"}[lent]
-			all = append(all, vary(name, func(p *chain.Policy) { p.Lent = lent }))
+			all = append(all, variant(name, func(p *chain.Policy) { p.Lent = lent }))
 		}
 	case "wait":
 		for _, d := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, time.Second} {
-			all = append(all, vary(d.String(), func(p *chain.Policy) { p.Wait = d }))
+			all = append(all, variant(d.String(), func(p *chain.Policy) { p.Wait = d }))
 		}
 	case "ceiling":
 		for _, n := range []float64{1, 2, 6} {
 			for k := limit.Gradient; k <= limit.Fixed; k++ {
-				all = append(all, vary(fmt.Sprintf("%s %gx", k, n), func(p *chain.Policy) { p.Limit, p.Ceiling = k, n }))
+				all = append(all, variant(fmt.Sprintf("%s %gx", k, n), func(p *chain.Policy) { p.Limit, p.Ceiling = k, n }))
 			}
 		}
 	case "doors":
-		all = append(all, vary("doors", func(p *chain.Policy) { p.Doors = true }), vary("noDoors", func(p *chain.Policy) { p.Doors = false }))
+		all = append(all, variant("doors", func(p *chain.Policy) { p.Doors = true }), variant("noDoors", func(p *chain.Policy) { p.Doors = false }))
 	default:
-		return nil, errors.Errorf("-compare: nothing is called %q", c.compare)
+		return nil, errors.Errorf("-compare: %q is not a comparison; -h lists them", o.compare)
 	}
 	return all, nil
 }
 
-func (c *choices) multiples() ([]float64, error) {
+func (o *options) parseLoads() ([]float64, error) {
 	var all []float64
-	for _, raw := range strings.Split(c.loads, ",") {
+	for _, raw := range strings.Split(o.loads, ",") {
 		n, err := strconv.ParseFloat(raw, 64)
 		if err != nil || n < 1 {
 			return nil, errors.Errorf("-loads: %q is not a number of at least 1", raw)
@@ -167,21 +169,21 @@
 	return all, nil
 }
 
-func (c *choices) experiments(policies []chain.Policy, loads []float64) []chain.Experiment {
+func (o *options) experiments(policies []chain.Policy, loads []float64) []chain.Experiment {
 	var all []chain.Experiment
 	for _, d := range chain.Deployments() {
-		if !named(c.deployments, d.Name) {
+		if !inList(o.deployments, d.Name) {
 			continue
 		}
 		for cause := range chain.Causes {
-			for _, times := range loads {
-				if times == 1 && chain.Cause(cause) != chain.Surge || !named(c.causes, chain.Cause(cause).String()) {
+			for _, load := range loads {
+				if load == 1 && chain.Cause(cause) != chain.Surge || !inList(o.causes, chain.Cause(cause).String()) {
 					continue
 				}
 				for _, p := range policies {
-					for i := range c.seeds {
+					for i := range o.seeds {
 						all = append(all, chain.Experiment{
-							Deployment: d, Policy: p, Cause: chain.Cause(cause), Times: times, Seed: c.seed + uint64(i), Polite: c.polite,
+							Deployment: d, Policy: p, Cause: chain.Cause(cause), Times: load, Seed: o.seed + uint64(i), Polite: o.polite,
 						})
 					}
 				}
@@ -191,31 +193,32 @@
 	return all
 }
 
-func named(list, name string) bool { return slices.Contains(strings.Split(list, ","), name) }
+// inList reports whether a comma-separated list has the name.
+func inList(list, name string) bool { return slices.Contains(strings.Split(list, ","), name) }
 
-// atOnce bounds the runs side by side.
-const atOnce = 4
+// maxParallelRuns bounds the simulations that run at the same time.
+const maxParallelRuns = 4
 
-func runAll(all []chain.Experiment) []chain.Result {
-	results := make([]chain.Result, len(all))
-	room := make(chan struct{}, atOnce)
+func runAll(experiments []chain.Experiment) []chain.Result {
+	results := make([]chain.Result, len(experiments))
+	slots := make(chan struct{}, maxParallelRuns)
 	var running sync.WaitGroup
-	for i, e := range all {
-		room <- struct{}{}
+	for i, e := range experiments {
+		slots <- struct{}{}
 		running.Go(func() {
 			results[i] = e.Run()
-			<-room
+			<-slots
 		})
 	}
 	running.Wait()
 	return results
 }
 
-func (c *choices) print(results []chain.Result) error {
-	if c.json {
+func (o *options) print(results []chain.Result) error {
+	if o.json {
 		out := json.NewEncoder(os.Stdout)
 		out.SetIndent("", "  ")
 		return out.Encode(results)
 	}
-	return table(os.Stdout, results, c.seeds)
+	return table(os.Stdout, results, o.seeds)
 }
--- a/cmd/foxtailbench/mechanisms.go
+++ b/cmd/foxtailbench/mechanisms.go
@@ -11,15 +11,16 @@
 	"github.com/foxtailhook/foxtailhook/internal/load/mesh"
 )
 
-// ablation is one load played with all seeds and without some mechanism.
+// ablation is one load, simulated with each seed and with some mechanism disabled.
 type ablation struct {
 	without mechanism.Set
 	load    mesh.Load
-	// served are the parts of all callers' requests that were answered in time, and crossed those sent to another zone, by seed.
-	served, crossed []float64
+	// By seed: served is the fraction of callers' requests that were answered in time, and crossZone the fraction of runs in another
+	// availability zone.
+	served, crossZone []float64
 }
 
-// ablate plays all loads with everything, and then without one mechanism after the other.
+// ablate simulates each load with all mechanisms, and then with each one disabled in turn.
 func ablate(seed uint64, seeds int) []*ablation {
 	sets := []mechanism.Set{{}}
 	for _, name := range mechanism.Names() {
@@ -29,17 +30,17 @@
 	var all []*ablation
 	for _, set := range sets {
 		for _, load := range mesh.Loads() {
-			all = append(all, &ablation{without: set, load: load, served: make([]float64, seeds), crossed: make([]float64, seeds)})
+			all = append(all, &ablation{without: set, load: load, served: make([]float64, seeds), crossZone: make([]float64, seeds)})
 		}
 	}
 	var running sync.WaitGroup
-	room := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxParallelRuns)
 	for _, a := range all {
 		for n := range seeds {
-			room <- struct{}{}
+			slots <- struct{}{}
 			running.Go(func() {
-				a.play(n, seed+uint64(n))
-				<-room
+				a.run(n, seed+uint64(n))
+				<-slots
 			})
 		}
 	}
@@ -47,21 +48,21 @@
 	return all
 }
 
-func (a *ablation) play(n int, seed uint64) {
-	scene := mesh.Fan(seed)
-	scene.Troubles, scene.Without = a.load.Troubles, a.without
-	r := mesh.Play(scene, a.load.To)
-	asked, inTime, runs, crossed := 0, 0, 0, 0
-	for route, whole := range r.Routes {
-		t := r.Between(route, a.load.From, a.load.To)
-		asked, inTime = asked+t.Asked, inTime+t.InTime
-		runs, crossed = runs+whole.Runs, crossed+whole.CrossZone
+func (a *ablation) run(n int, seed uint64) {
+	scenario := mesh.Fan(seed)
+	scenario.Troubles, scenario.Without = a.load.Troubles, a.without
+	r := mesh.Play(scenario, a.load.To)
+	requests, inTime, runs, crossZone := 0, 0, 0, 0
+	for route, total := range r.Routes {
+		measured := r.Between(route, a.load.From, a.load.To)
+		requests, inTime = requests+measured.Asked, inTime+measured.InTime
+		runs, crossZone = runs+total.Runs, crossZone+total.CrossZone
 	}
-	a.served[n] = float64(inTime) / float64(max(asked, 1))
-	a.crossed[n] = float64(crossed) / float64(max(runs, 1))
+	a.served[n] = float64(inTime) / float64(max(requests, 1))
+	a.crossZone[n] = float64(crossZone) / float64(max(runs, 1))
 }
 
-// writeAblation writes a table with a row for each mechanism.
+// writeAblation writes a table with a row for each disabled mechanism.
 func writeAblation(out io.Writer, all []*ablation) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	loads := mesh.Loads()
@@ -77,21 +78,21 @@
 			}
 			_, _ = fmt.Fprintf(w, "\n%s", name)
 		}
-		served, spread := meanOf(a.served)
-		crossed, _ := meanOf(a.crossed)
-		_, _ = fmt.Fprintf(w, "\t%.3f ± %.3f\t%.2f", served, spread, crossed)
+		served, deviation := meanAndDeviation(a.served)
+		crossed, _ := meanAndDeviation(a.crossZone)
+		_, _ = fmt.Fprintf(w, "\t%.3f ± %.3f\t%.2f", served, deviation, crossed)
 	}
 	_, _ = fmt.Fprintln(w)
 	return w.Flush()
 }
 
-// meanOf returns the mean and the standard deviation.
-func meanOf(all []float64) (mean, deviation float64) {
-	for _, x := range all {
-		mean += x / float64(len(all))
+// meanAndDeviation returns the mean and the standard deviation.
+func meanAndDeviation(values []float64) (mean, deviation float64) {
+	for _, x := range values {
+		mean += x / float64(len(values))
 	}
-	for _, x := range all {
-		deviation += (x - mean) * (x - mean) / float64(len(all))
+	for _, x := range values {
+		deviation += (x - mean) * (x - mean) / float64(len(values))
 	}
 	return mean, math.Sqrt(deviation)
 }
--- a/cmd/foxtailbench/summary.go
+++ b/cmd/foxtailbench/summary.go
@@ -11,13 +11,12 @@
 	"github.com/foxtailhook/foxtailhook/internal/load/chain"
 )
 
-// column is one figure of the table: how it is read, which of two is the worse, and how it is written.
+// column is a column of the table: the measure it shows, which of two values is worse, and how a value is formatted.
 type column struct {
-	name  string
-	value func(r chain.Result) float64
-	// lower means that less is worse.
-	lower  bool
-	format func(v float64) string
+	name         string
+	value        func(r chain.Result) float64
+	lowerIsWorse bool
+	format       func(v float64) string
 }
 
 func columns() []column {
@@ -34,7 +33,7 @@
 	}
 }
 
-// recovery returns the time until goodput was back, infinite if it never was.
+// recovery returns the seconds until goodput had recovered, infinite if it never did.
 func recovery(r chain.Result) float64 {
 	if r.RecoverySeconds < 0 {
 		return math.Inf(1)
@@ -57,14 +56,14 @@
 	return fmt.Sprintf("%.2f", v)
 }
 
-// cell writes one figure over all seeds: the median, and the worst after a slash.
+// cell formats one measure over all seeds: the median, and after a slash the worst value.
 func (c column) cell(results []chain.Result) string {
 	values := make([]float64, len(results))
 	for i, r := range results {
 		values[i] = c.value(r)
 	}
 	slices.SortFunc(values, func(a, b float64) int {
-		if c.lower {
+		if c.lowerIsWorse {
 			a, b = b, a
 		}
 		return cmp.Compare(a, b)
@@ -76,7 +75,7 @@
 	return median + " / " + worst
 }
 
-// table prints a row for each group of results that differ in their seed alone.
+// table prints a row for each group of results that differ only in their seed.
 func table(out io.Writer, results []chain.Result, seeds int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 1, ' ', tabwriter.AlignRight|tabwriter.Debug)
 	fmt.Fprint(w, "deployment\tcause\ttimes\tchoice\t")
--- a/cmd/foxtailbench/summary_test.go
+++ b/cmd/foxtailbench/summary_test.go
@@ -19,7 +19,7 @@
 		{1, []float64{1, 1, 1}, []float64{0.5, 0, 2.25}, "0.50 / 2.25"},
 		{1, []float64{1, 1, 1}, []float64{0.5, -1, 2.25}, "2.25 / never"},
 	}
-	Convey("A figure is the median over the seeds, then the worst", t, func() {
+	Convey("A cell has the median over the seeds, then the worst value", t, func() {
 		for _, c := range cases {
 			var results []chain.Result
 			for i := range c.goodput {
--- a/cmd/foxtailhook/main.go
+++ b/cmd/foxtailhook/main.go
@@ -1,4 +1,4 @@
-// Command foxtailhook is the daemon beside one upstream.
+// Command foxtailhook is the daemon that runs on the host of one upstream.
 package main
 
 import (
@@ -23,7 +23,7 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	if path := boot(); path != "" {
+	if path := settingsPath(); path != "" {
 		return runOnPlatform(path)
 	}
 	s, err := foxtailhook.ParseSettings(os.Args[1:], os.Stdout)
--- a/cmd/foxtailhook/platform.go
+++ b/cmd/foxtailhook/platform.go
@@ -20,25 +20,26 @@
 	"github.com/foxtailhook/foxtailhook/platform"
 )
 
-// bootVariable names the settings file of the users' platform; where it is set, the daemon runs there.
-const bootVariable = "FOXTAILHOOK_BOOT"
+// settingsVariable names the environment variable with the path of the users' platform's settings file. If it is set, the daemon
+// runs on that platform.
+const settingsVariable = "FOXTAILHOOK_BOOT"
 
-// memoryPart is the part of the process's memory that Go may fill before it collects with all its might; the rest is for
-// sockets' buffers, stacks of C and bytes that arrive meanwhile.
-const memoryPart = 0.6
+// memoryFraction is the Go runtime's soft memory limit as a fraction of the process's memory. The rest is left for socket buffers,
+// C stacks and data that arrives during a collection.
+const memoryFraction = 0.6
 
-// gcPercent is how much a collection of garbage lets the heap grow: at Go's 100 a daemon of some megabytes would collect several times a
-// second.
+// gcPercent is how much the heap may grow before the next garbage collection. With Go's default of 100, a daemon with a heap of some
+// megabytes would collect several times a second.
 const gcPercent = 200
 
-// settingsLook is how often the settings file is looked at: it may change without a signal.
-const settingsLook = time.Second
+// settingsPollInterval is how often the settings file is checked for changes: it may change without a signal.
+const settingsPollInterval = time.Second
 
-// boot returns the path of the platform's settings file, or "".
-func boot() string { return os.Getenv(bootVariable) }
+// settingsPath returns the path of the platform's settings file, or "".
+func settingsPath() string { return os.Getenv(settingsVariable) }
 
-// runOnPlatform serves with the settings of the platform, which take the place of flags, until it is told to end; it
-// returns the exit code. Logs go to standard output there.
+// runOnPlatform serves with the platform's settings file instead of flags until SIGTERM or SIGINT, and returns the exit code.
+// The platform reads logs from standard output.
 func runOnPlatform(path string) int {
 	out := telemetry.NewBuffered(os.Stdout)
 	defer func() { _ = out.Close() }()
@@ -49,19 +50,19 @@
 	defer stop()
 	s, err := platform.ReadSettings(path)
 	if err == nil {
-		s.Router.Without, err = without(os.Args[1:])
+		s.Router.Without, err = disabledMechanisms(os.Args[1:])
 	}
 	if err != nil {
 		log.WithError(err).Error("stopped")
 		return exitSettings
 	}
 	if s.Router.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(float64(s.Router.MemoryBytes) * memoryPart))
+		debug.SetMemoryLimit(int64(float64(s.Router.MemoryBytes) * memoryFraction))
 	}
 	debug.SetGCPercent(gcPercent)
 	store := platform.NewStore(s.Store)
 	r := router.New(s.Router, store, platform.Heads{}, log)
-	go follow(ctx, path, hangup, func() { reload(path, store, r, log) })
+	go watchSettings(ctx, path, hangup, func() { reload(path, store, r, log) })
 	if err := r.Run(ctx); err != nil {
 		log.WithError(err).Error("stopped")
 		return exitFailed
@@ -69,8 +70,8 @@
 	return 0
 }
 
-// without reads which mechanisms are switched off, from the flag or its variable.
-func without(args []string) (mechanism.Set, error) {
+// disabledMechanisms reads the disabled mechanisms from the flag or its environment variable.
+func disabledMechanisms(args []string) (mechanism.Set, error) {
 	fs := flag.NewFlagSet("foxtailhook", flag.ContinueOnError)
 	names := fs.String("without", "", "mechanisms that are switched off, separated by commas: "+strings.Join(mechanism.Names(), ", "))
 	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix("FOXTAILHOOK")); err != nil {
@@ -80,29 +81,29 @@
 	return set, errors.Wrap(err, "-without")
 }
 
-// follow calls changed after each signal and each change of the settings file.
-func follow(ctx context.Context, path string, hangup <-chan os.Signal, changed func()) {
-	tick := time.NewTicker(settingsLook)
+// watchSettings calls reload after each hangup signal and each change of the settings file.
+func watchSettings(ctx context.Context, path string, hangup <-chan os.Signal, reload func()) {
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
-	last := changedAt(path)
+	last := modTime(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup:
-			last = changedAt(path)
-			changed()
+			last = modTime(path)
+			reload()
 		case <-tick.C:
-			if at := changedAt(path); !at.Equal(last) {
+			if at := modTime(path); !at.Equal(last) {
 				last = at
-				changed()
+				reload()
 			}
 		}
 	}
 }
 
-// changedAt returns when the file was changed last; zero while it can't be looked at, which a later look mends.
-func changedAt(path string) time.Time {
+// modTime returns the file's modification time; zero if its status can't be read, so that a later poll sees a change.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -110,7 +111,7 @@
 	return info.ModTime()
 }
 
-// reload takes over settings that may change at work. Faulty ones are told and leave those in force.
+// reload applies the settings that may change while the daemon runs. Faulty settings are logged and change nothing.
 func reload(path string, store *platform.Store, r *router.Router, log *logrus.Logger) {
 	s, err := platform.ReadSettings(path)
 	if err != nil {
--- a/cmd/foxtailload/fleet.go
+++ b/cmd/foxtailload/fleet.go
@@ -11,7 +11,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/load/changes"
 )
 
-// fleetFlags name the fleet that a measurement is taken on.
+// fleetFlags are the flags that name the fleet to measure.
 type fleetFlags struct {
 	platform string
 	file     string
@@ -21,7 +21,7 @@
 func (f *fleetFlags) bind(fs *flag.FlagSet) {
 	fs.StringVar(&f.platform, "platform", "127.0.0.1:9000", "IP:port of the stand-in platform")
 	fs.StringVar(&f.file, "fleet", "", "JSON array of the daemons with host, zone, peer, callers, operators, pid and log")
-	fs.DurationVar(&f.wait, "wait", 5*time.Minute, "longest time for all of it")
+	fs.DurationVar(&f.wait, "wait", 5*time.Minute, "longest time for the whole measurement")
 }
 
 // measure reads the fleet into the plan, runs the measurement and prints its result as one JSON line.
--- a/cmd/foxtailload/latency.go
+++ b/cmd/foxtailload/latency.go
@@ -16,20 +16,20 @@
 
 func latencyCommand() *ffcli.Command {
 	fs := flag.NewFlagSet("foxtailload latency", flag.ExitOnError)
-	ways := fs.String("ways", "", "NAME=URL separated by commas, the direct one first")
+	ways := fs.String("ways", "", "paths to the upstream as NAME=URL, separated by commas, the direct one first")
 	key := fs.String("key", "", "organisation key")
-	rate := fs.Int("rate", 68, "requests per second on each way")
+	rate := fs.Int("rate", 68, "requests per second on each path")
 	length := fs.Duration("length", 20*time.Second, "length of the measurement")
-	warmUp := fs.Duration("warm-up", 3*time.Second, "time before it")
+	warmUp := fs.Duration("warm-up", 3*time.Second, "time before the measurement, not counted")
 	return &ffcli.Command{
 		Name: "latency", ShortUsage: "foxtailload latency -ways direct=URL,hop=URL -key K", FlagSet: fs,
-		ShortHelp: "Measures several ways to an upstream side by side; a JSON line for each.",
+		ShortHelp: "Measures several paths to an upstream at the same time; one JSON line for each on standard output.",
 		Exec: func(ctx context.Context, _ []string) error {
 			plan := latency.Plan{Key: *key, Rate: *rate, Length: *length, WarmUp: *warmUp}
-			for _, raw := range strings.Split(*ways, ",") {
-				name, url, ok := strings.Cut(raw, "=")
+			for _, way := range strings.Split(*ways, ",") {
+				name, url, ok := strings.Cut(way, "=")
 				if !ok {
-					return errors.Errorf("-ways: %q is not NAME=URL", raw)
+					return errors.Errorf("-ways: %q is not NAME=URL", way)
 				}
 				plan.Ways = append(plan.Ways, latency.Way{Name: name, URL: url})
 			}
--- a/cmd/foxtailload/main.go
+++ b/cmd/foxtailload/main.go
@@ -1,4 +1,4 @@
-// Command foxtailload drives traffic at a fleet, checks every answer and plays the operators in demos.
+// Command foxtailload sends traffic to a fleet, checks every response and acts as the operators in demos.
 package main
 
 import (
@@ -18,7 +18,7 @@
 )
 
 func main() {
-	os.Exit(program.Run("foxtailload", "Drives traffic at a fleet and checks every answer.",
+	os.Exit(program.Run("foxtailload", "Sends traffic to a fleet and checks every response.",
 		runCommand(), publishCommand(), readyCommand(), changesCommand(), demandCommand(), latencyCommand()))
 }
 
--- a/cmd/foxtailrate/main.go
+++ b/cmd/foxtailrate/main.go
@@ -1,4 +1,4 @@
-// Command foxtailrate weighs the ways to divide an organisation's rate over a fleet, in virtual time.
+// Command foxtailrate compares methods to divide an organisation's rate over a fleet, in simulated time.
 package main
 
 import (
@@ -19,10 +19,10 @@
 	fs := flag.NewFlagSet("foxtailrate", flag.ExitOnError)
 	hosts := fs.Int("hosts", 15, "hosts of the fleet, in three availability zones")
 	seed := fs.Uint64("seed", 1, "seed of the run")
-	only := fs.String("case", "", "run only cases whose name has this text")
-	way := fs.String("way", "", "run only ways whose name has this text")
-	each := fs.Bool("each", false, "show each organisation, and all its refusals by their cause")
-	asJSON := fs.Bool("json", false, "print one JSON line for each run in place of a table")
+	caseFilter := fs.String("case", "", "run only cases whose name contains this text")
+	variantFilter := fs.String("way", "", "run only methods whose name contains this text")
+	perOrganisation := fs.Bool("each", false, "show each organisation, with all its refusals by cause")
+	asJSON := fs.Bool("json", false, "print one JSON line for each run instead of a table")
 	if err := ff.Parse(fs, os.Args[1:], ff.WithEnvVarPrefix("FOXTAILRATE")); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -30,8 +30,8 @@
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	show := func(r rates.Result) {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.2f\t%.1f\t%.1f\t%.0f\t%.1f\t\n", r.Case, r.Arrival, r.Variant, r.Hosts, r.Percent, r.Asking, r.Messages, r.Bytes, r.Excess)
-		if *each {
-			showEach(table, r)
+		if *perOrganisation {
+			showOrganisations(table, r)
 		}
 	}
 	if *asJSON {
@@ -43,7 +43,7 @@
 	for _, c := range rates.Cases() {
 		for _, a := range []rates.Arrival{rates.Uniform, rates.Skewed} {
 			for _, v := range rates.Variants() {
-				if strings.Contains(c.Name, *only) && strings.Contains(v.Name, *way) {
+				if strings.Contains(c.Name, *caseFilter) && strings.Contains(v.Name, *variantFilter) {
 					show(rates.Run(v, c, a, *hosts, *seed))
 				}
 			}
@@ -52,9 +52,9 @@
 	_ = table.Flush()
 }
 
-// showEach prints a row for each organisation; refusals are counted with those that one global bucket makes too.
-func showEach(out io.Writer, r rates.Result) {
-	for _, t := range r.Organisations {
-		fmt.Fprintf(out, "\t\t%s\t%d in\t%.2f\t%v\t\t\t\t\n", t.Organisation, t.Inside, t.Percent(), t.Refusals)
+// showOrganisations prints a row for each organisation; its refusals include those that a single global bucket would also make.
+func showOrganisations(out io.Writer, r rates.Result) {
+	for _, tally := range r.Organisations {
+		fmt.Fprintf(out, "\t\t%s\t%d in\t%.2f\t%v\t\t\t\t\n", tally.Organisation, tally.Inside, tally.Percent(), tally.Refusals)
 	}
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin plays the platform or an upstream in demos and tests.
+// Command standin is a stand-in for the configuration service or an upstream, for demos and tests.
 package main
 
 import (
@@ -18,7 +18,7 @@
 )
 
 func main() {
-	os.Exit(program.Run("standin", "Plays an outside system in demos and tests.", platformCommand(), upstreamCommand()))
+	os.Exit(program.Run("standin", "Runs a stand-in for an external system, for demos and tests.", platformCommand(), upstreamCommand()))
 }
 
 func platformCommand() *ffcli.Command {
@@ -27,7 +27,7 @@
 	return &ffcli.Command{
 		Name:       "platform",
 		ShortUsage: "standin platform [flags]",
-		ShortHelp:  "The configuration service: lists with versions, read and watch.",
+		ShortHelp:  "The configuration service: versioned lists to read and watch.",
 		FlagSet:    fs,
 		Exec: func(ctx context.Context, _ []string) error {
 			return serve(ctx, *listen, platform.NewStore().Handler())
@@ -38,21 +38,21 @@
 func upstreamCommand() *ffcli.Command {
 	fs := flag.NewFlagSet("standin upstream", flag.ExitOnError)
 	listen := fs.String("listen", "127.0.0.1:8000", "IP:port to listen on")
-	daemon := fs.String("daemon", "127.0.0.1:7000", "IP:port of the daemon beside it")
+	daemon := fs.String("daemon", "127.0.0.1:7000", "IP:port of the daemon on the same host")
 	var c upstream.Config
 	fs.StringVar(&c.Host, "host", "host", "name of the host")
 	fs.StringVar(&c.Service, "service", "service", "name of the service")
-	fs.IntVar(&c.Slots, "slots", 64, "requests run at once; more are shed")
-	fs.DurationVar(&c.Latency, "latency", 2*time.Millisecond, "time for one request")
-	fs.IntVar(&c.Retries, "retries", 0, "how often its own call is repeated when it fails")
-	fs.BoolVar(&c.Lossy, "lossy", false, "close the connection in place of each answer")
-	fs.BoolVar(&c.Countdown, "countdown", false, "take the body as the number of calls below, and pass on one less")
-	fs.BoolVar(&c.Trace, "trace", false, "keep each run with its time")
-	fs.StringVar(&c.Next, "next", "", "path that each request calls on through the daemon")
+	fs.IntVar(&c.Slots, "slots", 64, "requests that run at once; further ones are shed")
+	fs.DurationVar(&c.Latency, "latency", 2*time.Millisecond, "latency of one request")
+	fs.IntVar(&c.Retries, "retries", 0, "how often a failed sub-call is retried")
+	fs.BoolVar(&c.Lossy, "lossy", false, "close the connection instead of responding")
+	fs.BoolVar(&c.Countdown, "countdown", false, "read the body as the remaining depth of sub-calls, and send one less with the sub-call")
+	fs.BoolVar(&c.Trace, "trace", false, "keep a record of each run")
+	fs.StringVar(&c.Next, "next", "", "path of the sub-call that each request makes through the daemon")
 	return &ffcli.Command{
 		Name:       "upstream",
 		ShortUsage: "standin upstream [flags]",
-		ShortHelp:  "An upstream with slots, latency and calls of its own.",
+		ShortHelp:  "An upstream with slots, a latency and sub-calls.",
 		FlagSet:    fs,
 		Exec: func(ctx context.Context, _ []string) error {
 			address, err := netip.ParseAddrPort(*daemon)
