--- a/internal/app/daemon/gauges.go
+++ b/internal/app/daemon/gauges.go
@@ -25,7 +25,7 @@
 			return
 		case <-tick.C:
 			last = d.reportGate(last)
-			d.metrics.Gauge(telemetry.DoorsClosing).Update(float64(d.throttles.Len()))
+			d.metrics.Gauge(telemetry.ActiveThrottles).Update(float64(d.throttles.Len()))
 			d.reportFleet()
 			bytes = d.reportPeers(bytes)
 		}
@@ -60,7 +60,7 @@
 		}
 		scope := d.metrics.Tagged(map[string]string{"message": peer.Kind(k).String()})
 		addDelta(scope.Counter(telemetry.PeerBytesSent), bytes.Sent, last.ByKind[k].Sent)
-		addDelta(scope.Counter(telemetry.PeerBytesGot), bytes.Received, last.ByKind[k].Received)
+		addDelta(scope.Counter(telemetry.PeerBytesReceived), bytes.Received, last.ByKind[k].Received)
 	}
 	return traffic
 }
--- a/internal/app/daemon/rates.go
+++ b/internal/app/daemon/rates.go
@@ -167,7 +167,7 @@
 	scope.Gauge(telemetry.RateShards).Update(float64(status.Shards))
 	scope.Gauge(telemetry.RateTokensOut).Update(float64(status.Lent))
 	scope.Gauge(telemetry.RateTokensLent).Update(float64(status.Tokens))
-	scope.Gauge(telemetry.RateAsks).Update(float64(r.leaseRequests.Load()))
+	scope.Gauge(telemetry.RateLeaseRequests).Update(float64(r.leaseRequests.Load()))
 }
 
 // askNextMember asks the next member for its view of the membership, and reports whether there was one to ask.
--- a/internal/app/daemon/seek.go
+++ b/internal/app/daemon/seek.go
@@ -76,7 +76,7 @@
 // returnToken returns the token of a request that did not run; a sub-call has none.
 func (r *rateLimiter) returnToken(a *admittedRequest) {
 	if r.borrower.GiveBack(a.request.Organisation, a.token, time.Now()) {
-		r.daemon.metrics.Counter(telemetry.RateGivenBack).Inc(1)
+		r.daemon.metrics.Counter(telemetry.RateTokensReturned).Inc(1)
 		r.returned.Add(1)
 	}
 }
--- a/internal/app/router/beats.go
+++ b/internal/app/router/beats.go
@@ -247,7 +247,7 @@
 	if !disabled.Has(mechanism.LentRetries) {
 		r.router.repeats.Apply(reply.Grants, hb.Report.RetryRates, sent)
 	}
-	r.router.metrics.Gauge(telemetry.WordAge).Update(time.Since(planMadeAt).Seconds())
+	r.router.metrics.Gauge(telemetry.PlanAge).Update(time.Since(planMadeAt).Seconds())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unavailableHosts = make(map[netip.Addr]bool, len(reply.Leaving)+len(reply.Missing))
--- a/internal/app/telemetry/metric.go
+++ b/internal/app/telemetry/metric.go
@@ -5,36 +5,36 @@
 // Metric names one metric of the daemon; /metrics shows it with Prefix before the name.
 type Metric uint8
 
-// The metrics of the daemon; Described returns their meanings.
+// The metrics of the daemon; Descriptions returns their meanings.
 const (
-	Answers         Metric = iota // answers
-	AnswerSeconds                 // answer_seconds
-	GateLimit                     // gate_limit
-	GateRunning                   // gate_running
-	GateQueued                    // gate_queued
-	GateRan                       // gate_ran
-	GateWaited                    // gate_waited
-	GateRefused                   // gate_refused
-	GateEvicted                   // gate_evicted
-	GateExpired                   // gate_expired
-	GateShed                      // gate_shed
-	DoorsClosing                  // doors_closing
-	Serving                       // serving
-	ListVersion                   // list_version
-	MembersLeaving                // members_leaving
-	MembersSuspect                // members_suspect
-	RateShards                    // rate_shards
-	RateTokensOut                 // rate_tokens_out
-	RateTokensLent                // rate_tokens_lent
-	RateAsks                      // rate_asks
-	RateWaits                     // rate_waits
-	RateGivenBack                 // rate_given_back
-	PeerConnections               // peer_connections
-	PeerFaults                    // peer_faults
-	PeerBytesSent                 // peer_bytes_sent
-	PeerBytesGot                  // peer_bytes_received
-	WordAge                       // word_age
-	StoreCalls                    // store_calls
+	Answers            Metric = iota // answers
+	AnswerSeconds                    // answer_seconds
+	GateLimit                        // gate_limit
+	GateRunning                      // gate_running
+	GateQueued                       // gate_queued
+	GateRan                          // gate_ran
+	GateWaited                       // gate_waited
+	GateRefused                      // gate_refused
+	GateEvicted                      // gate_evicted
+	GateExpired                      // gate_expired
+	GateShed                         // gate_shed
+	ActiveThrottles                  // doors_closing
+	Serving                          // serving
+	ListVersion                      // list_version
+	MembersLeaving                   // members_leaving
+	MembersSuspect                   // members_suspect
+	RateShards                       // rate_shards
+	RateTokensOut                    // rate_tokens_out
+	RateTokensLent                   // rate_tokens_lent
+	RateLeaseRequests                // rate_asks
+	RateWaits                        // rate_waits
+	RateTokensReturned               // rate_given_back
+	PeerConnections                  // peer_connections
+	PeerFaults                       // peer_faults
+	PeerBytesSent                    // peer_bytes_sent
+	PeerBytesReceived                // peer_bytes_received
+	PlanAge                          // word_age
+	StoreCalls                       // store_calls
 )
 
 // MetricCount is the number of metrics.
@@ -47,43 +47,43 @@
 	Unit    string
 	// Tags are the metric's tags besides host and zone, separated by commas; empty if there are none.
 	Tags string
-	// Look says which values need an operator's attention.
-	Look string
+	// Advice says which values need an operator's attention.
+	Advice string
 }
 
 var descriptions = [MetricCount]Description{
-	Answers:         {Meaning: "answers to callers", Unit: "count", Tags: "outcome, reason", Look: "the first to look at: `notRun` by `reason`, and any `outcomeUnknown`"},
-	AnswerSeconds:   {Meaning: "time from a request's arrival to its answer", Unit: "seconds, histogram", Tags: "outcome, reason", Look: "`whole` grows when the service behind slows"},
-	GateLimit:       {Meaning: "learned limit of the upstream beside the daemon", Unit: "requests", Look: "falls below `-slots` when the upstream slows under load"},
-	GateRunning:     {Meaning: "requests that the upstream runs", Unit: "requests", Look: "at `gate_limit` the upstream is full"},
-	GateQueued:      {Meaning: "requests that wait for the upstream", Unit: "requests", Look: "above 0 for long: more demand than the upstream takes"},
-	GateRan:         {Meaning: "requests that the upstream ran", Unit: "count", Look: "goodput of this host"},
-	GateWaited:      {Meaning: "requests that had to wait", Unit: "count"},
-	GateRefused:     {Meaning: "requests refused since the queue had no place for them", Unit: "count", Look: "overload of this host"},
-	GateEvicted:     {Meaning: "requests evicted from the queue in favour of a higher priority, or of an organisation that is further below its fair share", Unit: "count", Look: "overload of this host"},
-	GateExpired:     {Meaning: "requests that waited for longer than `-queue-time` or their deadline allows", Unit: "count", Look: "overload of this host"},
-	GateShed:        {Meaning: "requests that the upstream itself refused to run", Unit: "count", Look: "compare `-slots` with what the upstream runs at once"},
-	DoorsClosing:    {Meaning: "pairs of organisation and operation that are rejected in part at the ingress, since a service deeper in the chain is overloaded", Unit: "pairs", Look: "above 0: look for the overloaded service deeper in the chain"},
-	Serving:         {Meaning: "1 while callers are taken, else 0", Unit: "none", Look: "0 for longer than a start takes: `standing` in `/statusz` tells why"},
-	ListVersion:     {Meaning: "version in force", Unit: "version", Tags: "list", Look: "differs between hosts for more than 3 s"},
-	MembersLeaving:  {Meaning: "hosts that get no new work since they said that they leave", Unit: "hosts", Look: "above 0 for 10 minutes: take them out of the hosts list"},
-	MembersSuspect:  {Meaning: "hosts that get no new work since they don't answer", Unit: "hosts", Look: "many at once on one side: a network partition"},
-	RateShards:      {Meaning: "rate shards whose home the daemon is", Unit: "shards", Look: "0 on a listed host: `rates` in `/statusz` tells why"},
-	RateTokensOut:   {Meaning: "tokens on loan: lent, and neither reported as spent nor given back", Unit: "tokens"},
-	RateTokensLent:  {Meaning: "tokens lent since the start", Unit: "tokens"},
-	RateAsks:        {Meaning: "lease requests to homes since the start", Unit: "count"},
-	RateWaits:       {Meaning: "requests that found no token at hand and waited for homes to lend one", Unit: "count", Look: "grows faster than `overRate` answers: tokens arrive too late here"},
-	RateGivenBack:   {Meaning: "tokens of requests that were refused after all, given back", Unit: "count", Look: "grows with overload: a request that is refused after all doesn't count against its organisation's rate"},
-	PeerConnections: {Meaning: "open connections with other daemons", Unit: "connections"},
-	PeerFaults:      {Meaning: "connections on the peer port closed for a fault", Unit: "count", Look: "grows: strangers on the port, or another `-fleet-secrets`; the log has their addresses"},
-	PeerBytesSent:   {Meaning: "bytes of frames sent to other daemons", Unit: "bytes", Tags: "message", Look: "control is `digest`, `fetch`, `lease`, `confirm` and `handover`; 4 KB/s are planned for"},
-	PeerBytesGot:    {Meaning: "bytes of frames received from other daemons", Unit: "bytes", Tags: "message"},
-	WordAge:         {Meaning: "age of the collector's plan when it was last received", Unit: "seconds", Look: "above 1: plans and rates are out of date; see `collector lost` in the log"},
-	StoreCalls:      {Meaning: "calls to the platform's store: reads of everything (`all`), or watches for `changes`", Unit: "count", Tags: "call, outcome", Look: "many of `all`: daemons that start, or a store that has lost its history"},
+	Answers:            {Meaning: "answers to callers", Unit: "count", Tags: "outcome, reason", Advice: "the first to look at: `notRun` by `reason`, and any `outcomeUnknown`"},
+	AnswerSeconds:      {Meaning: "time from a request's arrival to its answer", Unit: "seconds, histogram", Tags: "outcome, reason", Advice: "`whole` grows when the service behind slows"},
+	GateLimit:          {Meaning: "learned limit of the upstream beside the daemon", Unit: "requests", Advice: "falls below `-slots` when the upstream slows under load"},
+	GateRunning:        {Meaning: "requests that the upstream runs", Unit: "requests", Advice: "at `gate_limit` the upstream is full"},
+	GateQueued:         {Meaning: "requests that wait for the upstream", Unit: "requests", Advice: "above 0 for long: more demand than the upstream takes"},
+	GateRan:            {Meaning: "requests that the upstream ran", Unit: "count", Advice: "goodput of this host"},
+	GateWaited:         {Meaning: "requests that had to wait", Unit: "count"},
+	GateRefused:        {Meaning: "requests refused since the queue had no place for them", Unit: "count", Advice: "overload of this host"},
+	GateEvicted:        {Meaning: "requests evicted from the queue in favour of a higher priority, or of an organisation that is further below its fair share", Unit: "count", Advice: "overload of this host"},
+	GateExpired:        {Meaning: "requests that waited for longer than `-queue-time` or their deadline allows", Unit: "count", Advice: "overload of this host"},
+	GateShed:           {Meaning: "requests that the upstream itself refused to run", Unit: "count", Advice: "compare `-slots` with what the upstream runs at once"},
+	ActiveThrottles:    {Meaning: "pairs of organisation and operation that are rejected in part at the ingress, since a service deeper in the chain is overloaded", Unit: "pairs", Advice: "above 0: look for the overloaded service deeper in the chain"},
+	Serving:            {Meaning: "1 while callers are taken, else 0", Unit: "none", Advice: "0 for longer than a start takes: `standing` in `/statusz` tells why"},
+	ListVersion:        {Meaning: "version in force", Unit: "version", Tags: "list", Advice: "differs between hosts for more than 3 s"},
+	MembersLeaving:     {Meaning: "hosts that get no new work since they said that they leave", Unit: "hosts", Advice: "above 0 for 10 minutes: take them out of the hosts list"},
+	MembersSuspect:     {Meaning: "hosts that get no new work since they don't answer", Unit: "hosts", Advice: "many at once on one side: a network partition"},
+	RateShards:         {Meaning: "rate shards whose home the daemon is", Unit: "shards", Advice: "0 on a listed host: `rates` in `/statusz` tells why"},
+	RateTokensOut:      {Meaning: "tokens on loan: lent, and neither reported as spent nor given back", Unit: "tokens"},
+	RateTokensLent:     {Meaning: "tokens lent since the start", Unit: "tokens"},
+	RateLeaseRequests:  {Meaning: "lease requests to homes since the start", Unit: "count"},
+	RateWaits:          {Meaning: "requests that found no token at hand and waited for homes to lend one", Unit: "count", Advice: "grows faster than `overRate` answers: tokens arrive too late here"},
+	RateTokensReturned: {Meaning: "tokens of requests that were refused after all, given back", Unit: "count", Advice: "grows with overload: a request that is refused after all doesn't count against its organisation's rate"},
+	PeerConnections:    {Meaning: "open connections with other daemons", Unit: "connections"},
+	PeerFaults:         {Meaning: "connections on the peer port closed for a fault", Unit: "count", Advice: "grows: strangers on the port, or another `-fleet-secrets`; the log has their addresses"},
+	PeerBytesSent:      {Meaning: "bytes of frames sent to other daemons", Unit: "bytes", Tags: "message", Advice: "control is `digest`, `fetch`, `lease`, `confirm` and `handover`; 4 KB/s are planned for"},
+	PeerBytesReceived:  {Meaning: "bytes of frames received from other daemons", Unit: "bytes", Tags: "message"},
+	PlanAge:            {Meaning: "age of the collector's plan when it was last received", Unit: "seconds", Advice: "above 1: plans and rates are out of date; see `collector lost` in the log"},
+	StoreCalls:         {Meaning: "calls to the platform's store: reads of everything (`all`), or watches for `changes`", Unit: "count", Tags: "call, outcome", Advice: "many of `all`: daemons that start, or a store that has lost its history"},
 }
 
-// Described returns every metric with its description.
-func Described() []Description {
+// Descriptions returns every metric with its description.
+func Descriptions() []Description {
 	all := descriptions
 	for i := range all {
 		all[i].Metric = Metric(i)
--- a/internal/ctl/reference/reference.go
+++ b/internal/ctl/reference/reference.go
@@ -60,8 +60,8 @@
 		"`/metrics` on the operators' port, in Prometheus' form. Each has `host` and `zone`, and the tags named here.\n" +
 		"Counts begin at 0 with the process. This page is written by `make docs`.\n\n" +
 		"| metric | what | unit | tags | worth a look |\n| --- | --- | --- | --- | --- |\n")
-	for _, d := range telemetry.Described() {
-		fmt.Fprintf(&page, "| `%s_%s` | %s | %s | %s | %s |\n", telemetry.Prefix, d.Metric, cell(d.Meaning), d.Unit, d.Tags, cell(d.Look))
+	for _, d := range telemetry.Descriptions() {
+		fmt.Fprintf(&page, "| `%s_%s` | %s | %s | %s | %s |\n", telemetry.Prefix, d.Metric, cell(d.Meaning), d.Unit, d.Tags, cell(d.Advice))
 	}
 	return page.String()
 }
