--- a/cmd/foxtailbench/mechanisms.go
+++ b/cmd/foxtailbench/mechanisms.go
@@ -79,8 +79,8 @@
 			_, _ = fmt.Fprintf(w, "\n%s", name)
 		}
 		served, deviation := meanAndDeviation(a.served)
-		crossed, _ := meanAndDeviation(a.crossZone)
-		_, _ = fmt.Fprintf(w, "\t%.3f ± %.3f\t%.2f", served, deviation, crossed)
+		crossZone, _ := meanAndDeviation(a.crossZone)
+		_, _ = fmt.Fprintf(w, "\t%.3f ± %.3f\t%.2f", served, deviation, crossZone)
 	}
 	_, _ = fmt.Fprintln(w)
 	return w.Flush()
--- a/cmd/foxtailbench/summary.go
+++ b/cmd/foxtailbench/summary.go
@@ -11,7 +11,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/load/chain"
 )
 
-// column is a column of the table: the measure it shows, which of two values is worse, and how a value is formatted.
+// column is a column of the table: the measure that it shows, whether a lower value is worse, and how a value is formatted.
 type column struct {
 	name         string
 	value        func(r chain.Result) float64
--- a/cmd/foxtailload/main.go
+++ b/cmd/foxtailload/main.go
@@ -36,8 +36,8 @@
 			}
 			runner := traffic.NewRunner(plan, os.Stderr)
 			result, err := runner.Run(ctx)
-			if out := json.NewEncoder(os.Stdout).Encode(result); out != nil {
-				return out
+			if encodeErr := json.NewEncoder(os.Stdout).Encode(result); encodeErr != nil {
+				return encodeErr
 			}
 			if err != nil || *report == "" {
 				return err
--- a/internal/app/settings/guards.go
+++ b/internal/app/settings/guards.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Guards are the settings that authenticate peers, keep requests from running twice and bound memory.
+// Guards are the settings that authenticate peers, keep requests from running twice, and bound what callers can occupy.
 type Guards struct {
 	// Secrets are the fleet's secrets: this daemon authenticates with the first and accepts all of them from its peers.
 	Secrets []string
--- a/internal/app/settings/settings.go
+++ b/internal/app/settings/settings.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// Limits returns the parameters of the fleet's rate limiting: the defaults with this daemon's fence, loan time and number of shards.
+// Limits returns the times and sizes that the fleet's rate limiting is based on: the defaults with the fence, loan time and shards set here.
 func (s *Settings) Limits() rate.Limits {
 	l := rate.DefaultLimits()
 	l.Fence, l.Loan, l.Shards = s.Fence, s.Loan, s.Shards
--- a/internal/app/telemetry/log_test.go
+++ b/internal/app/telemetry/log_test.go
@@ -16,8 +16,8 @@
 )
 
 func TestFormatterMatchesLogrus(t *testing.T) {
-	// Guards against a line that isn't valid JSON, or that a value has split in
-	// two: the decision could not be found by its request id any more.
+	// Guards against a line that isn't valid JSON, for example because a value
+	// wasn't escaped: the decision could not be found by its request id any more.
 	rapid.Check(t, func(t *rapid.T) {
 		fields := logrus.Fields{}
 		for i := range rapid.IntRange(0, 6).Draw(t, "fields") {
