--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// maxPublishBytes is above the platform's limit, so that tests can publish a value that daemons reject as too large.
+// maxPublishBytes is above the size that the platform allows, so that tests can publish a value that is too large.
 const maxPublishBytes = 4 << 20
 
 func (s *Store) servePublish(w http.ResponseWriter, r *http.Request) {
