--- a/cmd/foxtailload/main.go
+++ b/cmd/foxtailload/main.go
@@ -1,4 +1,4 @@
-// Command foxtailload drives traffic at a fleet, checks every answer and plays the operators in demos.
+// Command foxtailload sends traffic to a fleet, checks every response and acts as the operators in demos.
 package main
 
 import (
@@ -18,7 +18,7 @@
 )
 
 func main() {
-	os.Exit(program.Run("foxtailload", "Drives traffic at a fleet and checks every answer.",
+	os.Exit(program.Run("foxtailload", "Sends traffic to a fleet and checks every response.",
 		runCommand(), publishCommand(), readyCommand(), changesCommand(), demandCommand(), latencyCommand()))
 }
 
@@ -36,8 +36,8 @@
 			}
 			runner := traffic.NewRunner(plan, os.Stderr)
 			result, err := runner.Run(ctx)
-			if out := json.NewEncoder(os.Stdout).Encode(result); out != nil {
-				return out
+			if encodeErr := json.NewEncoder(os.Stdout).Encode(result); encodeErr != nil {
+				return encodeErr
 			}
 			if err != nil || *report == "" {
 				return err
