--- a/internal/app/daemon/seek_test.go
+++ b/internal/app/daemon/seek_test.go
@@ -15,83 +15,83 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// distantRates borrows the tokens of one organisation from a full home that answers after a while.
-func distantRates(metrics *telemetry.Metrics, away time.Duration) *rates {
+// delayedRateLimiter borrows the tokens of one organisation from a home that has its whole burst and replies after the delay.
+func delayedRateLimiter(metrics *telemetry.Metrics, delay time.Duration) *rateLimiter {
 	now := time.Now()
 	home := rate.Member{Host: "home"}
-	plans := []lists.Organisation{{Organisation: "dealer", Plan: "full", Rate: 1000, Burst: 1000}}
+	organisations := []lists.Organisation{{Organisation: "dealer", Plan: "full", Rate: 1000, Burst: 1000}}
 	limits := rate.DefaultLimits()
-	begun := now.Add(-24 * time.Hour)
-	lender := rate.NewHome(home, 1, limits, begun)
-	lender.SetPlans(plans, begun)
-	lender.SetList(1, []rate.Member{home}, begun)
+	homeStarted := now.Add(-24 * time.Hour)
+	lender := rate.NewHome(home, 1, limits, homeStarted)
+	lender.SetPlans(organisations, homeStarted)
+	lender.SetList(1, []rate.Member{home}, homeStarted)
 	borrower := rate.NewBorrower("h", 1, limits)
-	borrower.SetPlans(plans)
+	borrower.SetPlans(organisations)
 	borrower.SetList(1, []rate.Member{home})
-	r := &rates{daemon: &Daemon{metrics: metrics}, borrower: borrower, seeks: newSeeks()}
-	var one sync.Mutex
-	r.lend = func(_ context.Context, ask rate.Ask) time.Duration {
+	r := &rateLimiter{daemon: &Daemon{metrics: metrics}, borrower: borrower, searches: newTokenSearches()}
+	var mu sync.Mutex
+	r.requestTokens = func(_ context.Context, ask rate.Ask) time.Duration {
 		asked := time.Now()
-		time.Sleep(away)
-		one.Lock()
-		defer one.Unlock()
+		time.Sleep(delay)
+		mu.Lock()
+		defer mu.Unlock()
 		return borrower.Hear(home, lender.AnswerLease(ask.Message, time.Now()), asked, time.Now())
 	}
 	return r
 }
 
-// Requests of an organisation far inside its rate come in without a pause, and each waits a moment for a token, so
-// that one search for tokens follows the requests on. Those that came when it had gone on for long were refused as
-// over the rate, though the home had answered each question with tokens.
-func TestAnAnsweringHomeIsWaitedFor(t *testing.T) {
+// Requests of an organisation far below its rate limit arrive without a pause, and each waits briefly for a token, so that one
+// search for tokens goes on and on. If the search's time limit counted from its start, later requests would be refused as
+// above the rate limit although the home granted tokens each time.
+func TestSearchContinuesWhileHomesGrantTokens(t *testing.T) {
 	cases := []struct {
-		name string
-		away time.Duration
+		name  string
+		delay time.Duration
 	}{
-		{"a home near by", time.Millisecond},
+		{"a home in the same region", time.Millisecond},
 		{"a home in another region", 45 * time.Millisecond},
 	}
 	for _, c := range cases {
-		Convey("With "+c.name+", nobody inside the rate is refused", t, func() {
+		Convey("With "+c.name+", no request below the rate limit is refused", t, func() {
 			metrics := telemetry.NewMetrics("h", "a")
 			synctest.Test(t, func(t *testing.T) {
-				r := distantRates(metrics, c.away)
+				r := delayedRateLimiter(metrics, c.delay)
 				var refused atomic.Int32
-				var all sync.WaitGroup
+				var requests sync.WaitGroup
 				for range 600 {
-					all.Go(func() {
+					requests.Go(func() {
 						if _, _, ok := r.Spend(t.Context(), "dealer"); !ok {
 							refused.Add(1)
 						}
 					})
 					time.Sleep(5 * time.Millisecond)
 				}
-				all.Wait()
-				time.Sleep(time.Minute) // The last search ends.
+				requests.Wait()
+				time.Sleep(time.Minute) // Lets the last search end.
 				if n := refused.Load(); n > 0 {
-					t.Errorf("%d of 600 were refused", n)
+					t.Errorf("%d of 600 requests were refused", n)
 				}
 			})
 		})
 	}
 }
 
-// All homes hang. A request must hear so while its caller still listens, and not wait for its whole time.
-func TestHangingHomesAreNotWaitedForLong(t *testing.T) {
-	Convey("A request is refused after the bound", t, func() {
+// All homes hang. A request must be refused early enough for its caller, instead of waiting until its deadline.
+func TestSearchTimesOutWhenHomesHang(t *testing.T) {
+	Convey("A request is refused after searchTimeout", t, func() {
 		metrics := telemetry.NewMetrics("h", "a")
 		synctest.Test(t, func(t *testing.T) {
-			r := distantRates(metrics, 0)
-			r.lend = func(context.Context, rate.Ask) time.Duration {
-				time.Sleep(askBound)
+			r := delayedRateLimiter(metrics, 0)
+			r.requestTokens = func(context.Context, rate.Ask) time.Duration {
+				time.Sleep(leaseTimeout)
 				return rate.UnsettledWait
 			}
-			begun := time.Now()
+			started := time.Now()
 			if _, _, ok := r.Spend(t.Context(), "dealer"); ok {
-				t.Error("it got a token")
+				t.Error("the request got a token")
 			}
-			if waited := time.Since(begun); waited < seekBound || waited > seekBound+askBound+unsettledPause {
-				t.Errorf("it waited %s", waited)
+			if waited := time.Since(started); waited < searchTimeout || waited > searchTimeout+leaseTimeout+unsettledDelay {
+				t.Errorf("the request waited %s", waited)
 			}
 		})
 	})
