--- a/internal/app/daemon/spreading.go
+++ b/internal/app/daemon/spreading.go
@@ -78,7 +78,7 @@
 			err = errPeerStopped
 		}
 		if err != nil {
-			c.daemon.peers.Drop(to)
+			c.daemon.peers.DropLinks(to)
 		}
 		c.do(func() { c.handleDigestReply(to, theirs, err, now) })
 	})
