--- a/internal/app/daemon/dispatch.go
+++ b/internal/app/daemon/dispatch.go
@@ -64,7 +64,7 @@
 	}
 	// A refusal after a lost response must not claim that the request did not run.
 	if mayHaveRun && answer.Outcome == call.NotRun {
-		answer = call.Lose(call.AnswerLost)
+		answer = call.UnknownOutcome(call.AnswerLost)
 	}
 	answer.BudgetLeft = a.account.Left()
 	return answer
@@ -73,7 +73,7 @@
 func retryable(r call.Request, a call.Answer) bool {
 	switch a.Outcome {
 	case call.NotRun:
-		return a.Reason.ComeBack()
+		return a.Reason.Temporary()
 	case call.Unknown:
 		return r.Idempotent
 	default:
@@ -183,8 +183,8 @@
 		refusal.BudgetLeft = r.Budget
 		return refusal
 	case errors.Is(err, context.Canceled):
-		return call.Lose(call.Cancelled)
+		return call.UnknownOutcome(call.Cancelled)
 	default:
-		return call.Lose(call.AnswerLost)
+		return call.UnknownOutcome(call.AnswerLost)
 	}
 }
--- a/internal/app/daemon/truth_test.go
+++ b/internal/app/daemon/truth_test.go
@@ -23,7 +23,7 @@
 		{"a refusal before any sub-call", call.Refuse(call.UpstreamShed, 0), 7, call.NotRun, 8},
 		{"a refusal after a sub-call ran", call.Refuse(call.UpstreamShed, 0), 6, call.Unknown, 6},
 		{"a complete response", call.Answer{Outcome: call.Whole}, 6, call.Whole, 6},
-		{"a lost response", call.Lose(call.AnswerLost), 7, call.Unknown, 7},
+		{"a lost response", call.UnknownOutcome(call.AnswerLost), 7, call.Unknown, 7},
 	}
 	Convey("An upstream's claim of not run is accepted only if its sub-calls spent nothing", t, func() {
 		for _, c := range cases {
--- a/internal/app/router/send.go
+++ b/internal/app/router/send.go
@@ -69,7 +69,7 @@
 	case deadlinePassed:
 		reason = call.TimedOut
 	}
-	lost := call.Lose(reason)
+	lost := call.UnknownOutcome(reason)
 	return runResult{Outcome: lost.Outcome, Reason: lost.Reason, Status: lost.Status, Arrived: true}
 }
 
@@ -81,7 +81,7 @@
 		return runResult{Outcome: answer.Outcome, Reason: answer.Reason, Status: answer.Status, RetryAfter: answer.RetryAfter, Arrived: true}
 	}
 	if head.Encoded || !head.Authentic && resp.Status < http.StatusBadRequest {
-		lost := call.Lose(call.AnswerLost)
+		lost := call.UnknownOutcome(call.AnswerLost)
 		return runResult{Outcome: lost.Outcome, Reason: lost.Reason, Status: lost.Status, Arrived: true}
 	}
 	return runResult{Outcome: call.Whole, Status: resp.Status, Header: resp.Header, Body: resp.Body, Arrived: true}
--- a/internal/fleet/catalog/catalog.go
+++ b/internal/fleet/catalog/catalog.go
@@ -137,7 +137,7 @@
 		out.Rejected = err
 		return
 	}
-	out.Faults = append(entry.Config.Settle(), entry.Config.Notes...)
+	out.Faults = append(entry.Config.MarkFaults(), entry.Config.Notes...)
 	c.config, c.configRevision = entry.Config, entry.Revision
 	out.Configured = true
 }
