--- a/internal/app/daemon/answers.go
+++ b/internal/app/daemon/answers.go
@@ -10,42 +10,44 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// answerKind is the pair of labels by which responses are counted.
-type answerKind struct {
+// responseKind is the pair of labels by which responses are counted.
+type responseKind struct {
 	outcome call.Outcome
 	reason  call.Reason
 }
 
 // kindMetrics holds the metrics of one kind of response.
 type kindMetrics struct {
-	answers tally.Counter
-	seconds tally.Histogram
+	responses tally.Counter
+	seconds   tally.Histogram
 }
 
-// answerMetrics caches the metrics of every kind of response seen so far, since creating a tagged scope costs five
+// responseMetrics caches the metrics of every kind of response seen so far, since creating a tagged scope costs five
 // allocations each time.
-type answerMetrics struct {
+type responseMetrics struct {
 	scope telemetry.Scope
-	kinds sync.Map // answerKind to *kindMetrics
+	kinds sync.Map // responseKind to *kindMetrics
 }
 
-func newAnswerMetrics(scope telemetry.Scope) *answerMetrics { return &answerMetrics{scope: scope} }
+func newResponseMetrics(scope telemetry.Scope) *responseMetrics {
+	return &responseMetrics{scope: scope}
+}
 
 // add records one response and how long the request took.
-func (m *answerMetrics) add(answer call.Answer, duration time.Duration) {
-	count := m.forKind(answerKind{answer.Outcome, answer.Reason})
-	count.answers.Inc(1)
+func (m *responseMetrics) add(answer call.Answer, duration time.Duration) {
+	count := m.forKind(responseKind{answer.Outcome, answer.Reason})
+	count.responses.Inc(1)
 	count.seconds.RecordDuration(duration)
 }
 
-func (m *answerMetrics) forKind(kind answerKind) *kindMetrics {
+func (m *responseMetrics) forKind(kind responseKind) *kindMetrics {
 	if known, ok := m.kinds.Load(kind); ok {
 		return known.(*kindMetrics)
 	}
 	scope := m.scope.Tagged(map[string]string{"outcome": kind.outcome.String(), "reason": kind.reason.String()})
 	stored, _ := m.kinds.LoadOrStore(kind, &kindMetrics{
-		answers: scope.Counter(telemetry.Answers),
-		seconds: scope.Latencies(telemetry.AnswerSeconds),
+		responses: scope.Counter(telemetry.Answers),
+		seconds:   scope.Latencies(telemetry.AnswerSeconds),
 	})
 	return stored.(*kindMetrics)
 }
--- a/internal/app/daemon/control.go
+++ b/internal/app/daemon/control.go
@@ -28,14 +28,14 @@
 	incarnation uint64
 	leaving     bool
 	// exchanging holds the peers with a digest in flight; a slow peer gets no second one.
-	exchanging       map[netip.AddrPort]bool
-	stopReading      context.CancelFunc
-	reading          bool
-	releasing        bool
-	largeValueSeen   bool
-	lastRelease      time.Time
-	lastLargeValue   time.Time
-	membersPublished time.Time
+	exchanging         map[netip.AddrPort]bool
+	stopReading        context.CancelFunc
+	reading            bool
+	releasing          bool
+	largeValueSeen     bool
+	lastReleaseAt      time.Time
+	lastLargeValueAt   time.Time
+	membersPublishedAt time.Time
 
 	tasks    chan func()
 	failures chan hostFailure
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -24,10 +24,10 @@
 
 // Daemon is one foxtailhook process, which runs on the same host as its upstream.
 type Daemon struct {
-	settings settings.Settings
-	log      *logrus.Logger
-	metrics  *telemetry.Metrics
-	answers  *answerMetrics
+	settings  settings.Settings
+	log       *logrus.Logger
+	metrics   *telemetry.Metrics
+	responses *responseMetrics
 
 	view         atomic.Pointer[lists.View]
 	servingState atomic.Pointer[servingState]
@@ -60,7 +60,7 @@
 		runNeeds:  budget.NewNeeds(),
 		throttles: pressure.New(),
 	}
-	d.answers = newAnswerMetrics(d.metrics.Scope)
+	d.responses = newResponseMetrics(d.metrics.Scope)
 	d.view.Store(lists.NewSet().View())
 	d.executor = newExecutor(s, upstream.New(s.Upstream, upstream.WithMaxResponse(int64(s.BodyBound)), upstream.WithNonIdempotentMaxIdle(s.OnceIdle)))
 	d.rateLimiter = newRateLimiter(d)
--- a/internal/app/daemon/door_test.go
+++ b/internal/app/daemon/door_test.go
@@ -38,7 +38,7 @@
 		throttles: pressure.New(pressure.WithRand(func() float64 { return 0 })),
 	}
 	d.view.Store(lists.NewView([lists.Kinds]uint64{1, 1, 1, 1}, plans, uses, keys, &lists.Hosts{}))
-	d.servingState.Store(&servingState{Standing: spread.Serving, checked: now.Add(time.Second)})
+	d.servingState.Store(&servingState{Standing: spread.Serving, checkedAt: now.Add(time.Second)})
 	limits := rate.DefaultLimits()
 	homeStarted := now.Add(-24 * time.Hour)
 	home, borrower := rate.NewHome(self, 1, limits, homeStarted), rate.NewBorrower("h", 1, limits)
@@ -115,9 +115,9 @@
 				var after time.Duration
 				synctest.Test(t, func(*testing.T) {
 					arrived := time.Now()
-					d.servingState.Store(&servingState{Standing: c.standing, checked: arrived.Add(-time.Hour), since: arrived.Add(c.since)})
+					d.servingState.Store(&servingState{Standing: c.standing, checkedAt: arrived.Add(-time.Hour), since: arrived.Add(c.since)})
 					time.AfterFunc(c.confirmed, func() {
-						d.servingState.Store(&servingState{Standing: spread.Serving, checked: time.Now(), since: time.Now()})
+						d.servingState.Store(&servingState{Standing: spread.Serving, checkedAt: time.Now(), since: time.Now()})
 					})
 					r := httptest.NewRequest(http.MethodGet, "/lookup/", nil)
 					r.Header.Set(headerTimeout, strconv.FormatInt(c.timeout.Milliseconds(), 10))
--- a/internal/app/daemon/front.go
+++ b/internal/app/daemon/front.go
@@ -56,7 +56,7 @@
 }
 
 func (d *Daemon) respond(w http.ResponseWriter, r *call.Request, a call.Answer, started time.Time) {
-	d.answers.add(a, time.Since(started))
+	d.responses.add(a, time.Since(started))
 	if a.Outcome == call.Whole {
 		writeAnswer(w, r, a)
 		return
--- a/internal/app/daemon/memory.go
+++ b/internal/app/daemon/memory.go
@@ -31,7 +31,7 @@
 	if !c.releasing {
 		c.releasing = true
 		sharedGCTuner.begin()
-		c.releaseAfter(max(releaseDelay, minReleaseInterval-time.Since(c.lastRelease)))
+		c.releaseAfter(max(releaseDelay, minReleaseInterval-time.Since(c.lastReleaseAt)))
 	}
 }
 
@@ -45,9 +45,9 @@
 	})
 }
 
-// memoryReleased restores the collector's setting, unless another large list came while memory was being released.
+// memoryReleased restores the garbage collector's setting, unless another large list came while memory was being released.
 func (c *control) memoryReleased() {
-	c.lastRelease = time.Now()
+	c.lastReleaseAt = time.Now()
 	if c.largeValueSeen {
 		c.releaseAfter(minReleaseInterval)
 		return
--- a/internal/app/daemon/pressure_test.go
+++ b/internal/app/daemon/pressure_test.go
@@ -47,7 +47,7 @@
 	}{
 		{"a failure with overload at a deeper service throttles the operation", http.StatusBadGateway, 1, 1},
 		{"a failure without overload does not throttle it", http.StatusBadGateway, 0, 0},
-		{"overload at a deeper service despite which the upstream succeeds does not throttle it", http.StatusOK, 1, 0},
+		{"a success despite overload at a deeper service does not throttle it", http.StatusOK, 1, 0},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
--- a/internal/app/daemon/rates.go
+++ b/internal/app/daemon/rates.go
@@ -23,17 +23,17 @@
 	self     rate.Member
 	searches tokenSearches
 	// requestTokens asks a home for tokens and returns the time until it has one.
-	requestTokens func(context.Context, rate.Ask) time.Duration
-	leaseRequests atomic.Uint64
-	waits         atomic.Uint64
-	returned      atomic.Uint64
-	mayLend       atomic.Bool
-	listsComplete time.Time
-	// configured holds the versions of the lists that were applied last.
-	configured [2]uint64
-	ready      atomic.Bool
-	cancel     context.CancelFunc
-	done       chan struct{}
+	requestTokens   func(context.Context, rate.Ask) time.Duration
+	leaseRequests   atomic.Uint64
+	waits           atomic.Uint64
+	returned        atomic.Uint64
+	mayLend         atomic.Bool
+	listsCompleteAt time.Time
+	// configuredVersions holds the versions of the lists that were applied last.
+	configuredVersions [2]uint64
+	ready              atomic.Bool
+	cancel             context.CancelFunc
+	done               chan struct{}
 }
 
 func newRateLimiter(d *Daemon) *rateLimiter {
@@ -64,16 +64,16 @@
 func (r *rateLimiter) configure(view *lists.View) {
 	now := time.Now()
 	versions := rateVersions(view)
-	previous := r.configured
-	r.configured = versions
+	previous := r.configuredVersions
+	r.configuredVersions = versions
 	if versions[0] != previous[0] {
 		r.setHosts(view, now)
 	}
 	if versions[1] != previous[1] {
 		r.setPlans(view, now)
 	}
-	if view.Complete() && r.listsComplete.IsZero() {
-		r.listsComplete = now
+	if view.Complete() && r.listsCompleteAt.IsZero() {
+		r.listsCompleteAt = now
 	}
 }
 
@@ -97,12 +97,12 @@
 
 // Intervals and timeouts of the messages between daemons.
 const (
-	// confirmInterval is the interval of membership requests while there are members to ask.
+	// confirmInterval is the interval at which members are asked for their statements while there are any to ask.
 	confirmInterval = 20 * time.Millisecond
-	// confirmTimeout bounds the wait for a reply about membership, from the time of the request.
+	// confirmTimeout bounds the wait for a member's statement, from the time of the request.
 	confirmTimeout = 2 * time.Second
-	// leaseTimeout bounds the wait for one home while requests wait: long enough for a round trip to another region,
-	// but a home that hangs must not keep them from homes that have tokens.
+	// leaseTimeout bounds the wait for one home's lease reply. It is long enough for a round trip to another region, but
+	// a home that hangs must not keep waiting requests from homes that have tokens.
 	leaseTimeout = 50 * time.Millisecond
 )
 
@@ -160,7 +160,7 @@
 	if was := r.mayLend.Swap(status.MayLend); was != status.MayLend {
 		r.daemon.log.WithFields(logrus.Fields{"mayLend": status.MayLend, "hostsVersion": status.Version, "members": status.Members}).Info("rates")
 	}
-	if !r.listsComplete.IsZero() && (!status.Listed || status.MayLend && status.Settled || now.Sub(r.listsComplete) >= readyTimeout) {
+	if !r.listsCompleteAt.IsZero() && (!status.Listed || status.MayLend && status.Settled || now.Sub(r.listsCompleteAt) >= readyTimeout) {
 		r.ready.Store(true)
 	}
 	scope := r.daemon.metrics.Scope
@@ -170,7 +170,7 @@
 	scope.Gauge(telemetry.RateAsks).Update(float64(r.leaseRequests.Load()))
 }
 
-// askNextMember asks the next member for its view of the membership, and reports whether there was one to ask.
+// askNextMember asks the next member for its statement, and reports whether there was one to ask.
 func (r *rateLimiter) askNextMember(ctx context.Context) bool {
 	var to rate.Member
 	var ask rate.Statement
@@ -236,8 +236,8 @@
 // handoverTimeout bounds how long a leaving daemon tries to reach the other members.
 const handoverTimeout = 500 * time.Millisecond
 
-// handOverShards gives up this daemon's shards and tells the other members, so that they need not wait
-// for the time (rate.Limits.Fence) during which the shards of a vanished member stay unused.
+// handOverShards gives up this daemon's shards and states so to the other members. Otherwise the shards would stay
+// unused for as long as those of an unreachable member do (rate.Limits.Fence).
 // A lost message delays the handover but never lets two daemons lend the same tokens.
 func (r *rateLimiter) handOverShards() {
 	var others []rate.Member
--- a/internal/app/daemon/spreading.go
+++ b/internal/app/daemon/spreading.go
@@ -142,7 +142,7 @@
 	if len(packet.Whole) < largeValueBytes {
 		return packet, 0
 	}
-	next := c.lastLargeValue.Add(largeValueInterval)
+	next := c.lastLargeValueAt.Add(largeValueInterval)
 	if next.Before(now) {
 		next = now
 	}
@@ -150,7 +150,7 @@
 	if wait > maxLargeValueWait {
 		return spread.Packet{}, 0
 	}
-	c.lastLargeValue = next
+	c.lastLargeValueAt = next
 	c.noteLargeValue(len(packet.Whole))
 	return packet, wait
 }
--- a/internal/app/daemon/standing.go
+++ b/internal/app/daemon/standing.go
@@ -10,7 +10,7 @@
 // servingState says whether the control goroutine, when it last checked, considered the lists current.
 type servingState struct {
 	spread.Standing
-	checked time.Time
+	checkedAt time.Time
 	// since is when the daemon entered this state.
 	since time.Time
 }
@@ -18,7 +18,7 @@
 // acceptsCallers reports whether callers' requests are accepted at this moment.
 func (d *Daemon) acceptsCallers(now time.Time) bool {
 	s := d.servingState.Load()
-	return s.Takes(s.checked, now) && d.view.Load().Complete()
+	return s.Takes(s.checkedAt, now) && d.view.Load().Complete()
 }
 
 const (
@@ -75,8 +75,8 @@
 	default:
 		c.daemon.log.WithField("standing", standing.String()).WithField("before", previous.String()).Info("standing")
 	}
-	c.daemon.servingState.Store(&servingState{Standing: standing, checked: checked, since: since})
-	if now.Sub(c.membersPublished) >= membersInterval {
+	c.daemon.servingState.Store(&servingState{Standing: standing, checkedAt: checked, since: since})
+	if now.Sub(c.membersPublishedAt) >= membersInterval {
 		c.publishMembers(now)
 	}
 }
@@ -85,6 +85,6 @@
 const membersInterval = time.Second
 
 func (c *control) publishMembers(now time.Time) {
-	c.membersPublished = now
+	c.membersPublishedAt = now
 	c.daemon.members.Store(c.members.View(now))
 }
--- a/internal/app/router/beats.go
+++ b/internal/app/router/beats.go
@@ -159,7 +159,7 @@
 		From: router.settings.Peers, Version: version(view), Revision: view.Revision, StoreAge: router.control.fresh.Age(now),
 		CountedFor: now.Sub(r.startedAt), Counts: router.quota.Report(now),
 		Report: demand.Report{
-			Daemons: 1, Services: map[string]demand.Service{router.settings.Service: service}, Demand: router.shedder.Demand(now), RetryRates: router.repeats.Report(now),
+			Daemons: 1, Services: map[string]demand.Service{router.settings.Service: service}, Demand: router.shedder.Demand(now), RetryRates: router.retryBudget.Report(now),
 		},
 		Work: map[string]collect.Work{router.settings.Service: work}, Calls: router.executor.runs.Calls(),
 	}
@@ -245,7 +245,7 @@
 		r.router.shedder.Apply(reply.Plan.Allocations, planMadeAt)
 	}
 	if !disabled.Has(mechanism.LentRetries) {
-		r.router.repeats.Apply(reply.Grants, hb.Report.RetryRates, sent)
+		r.router.retryBudget.Apply(reply.Grants, hb.Report.RetryRates, sent)
 	}
 	r.router.metrics.Gauge(telemetry.WordAge).Update(time.Since(planMadeAt).Seconds())
 	r.mu.Lock()
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -22,10 +22,10 @@
 	router  *Router
 	source  Source
 	catalog *catalog.Catalog
-	// lastOutage is the latest time at which the configuration store was known to be in an outage.
-	lastOutage time.Time
-	fresh      fresh.State
-	tasks      chan func()
+	// lastOutageAt is the latest time at which the configuration store was known to be in an outage.
+	lastOutageAt time.Time
+	fresh        fresh.State
+	tasks        chan func()
 	// fetchQueue holds the address of a daemon that reported something newer.
 	fetchQueue chan netip.AddrPort
 	ctx        context.Context
@@ -152,8 +152,8 @@
 	c.do(func() {
 		now := time.Now()
 		graceEnd := time.Time{}
-		if from == storeName && !c.lastOutage.IsZero() {
-			graceEnd = c.lastOutage.Add(catalog.ReturnGrace)
+		if from == storeName && !c.lastOutageAt.IsZero() {
+			graceEnd = c.lastOutageAt.Add(catalog.ReturnGrace)
 		}
 		outcome := c.catalog.Apply(changes, now, graceEnd)
 		for _, entry := range changes.Entries {
@@ -209,7 +209,7 @@
 	r.executor.setInstance(own, known)
 	daemons := len(view.Hosts())
 	r.quota.SetDaemons(daemons)
-	r.repeats.SetDaemons(daemons)
+	r.retryBudget.SetDaemons(daemons)
 	r.metrics.Gauge(telemetry.ListVersion).Update(float64(version(view)))
 }
 
--- a/internal/app/router/leave.go
+++ b/internal/app/router/leave.go
@@ -10,15 +10,15 @@
 
 const (
 	// noticePeriod is how long callers are served as usual after the order to shut down. The platform checks health once a second and sends
-	// callers to other hosts after two failed checks; if they were cut off earlier, they would lose requests.
+	// callers to other hosts after two failed checks; if they were not served until then, they would lose requests.
 	noticePeriod = 2300 * time.Millisecond
 	// instanceUsePeriod is how long other daemons may still use the instance after the order to shut down. The instance is healthy, and its
-	// service lacks it while its daemon restarts: with three instances, a third of the service's capacity. Other daemons learn of the
-	// shutdown within a heartbeat.
+	// service does without its capacity while the daemon restarts: a third of the service's, with three instances. Other daemons learn of
+	// the shutdown within a heartbeat interval.
 	instanceUsePeriod = 1900 * time.Millisecond
-	// quietPeriod is how long no request must have been in flight before the process ends: one may be on its way.
+	// quietPeriod is how long the daemon must have been without requests in flight before the process ends: another may be on its way.
 	quietPeriod = 300 * time.Millisecond
-	// shutdownReserve is the part of the leave time that is reserved for closing the callers' port and the peers' connections and for the
+	// shutdownReserve is the end of the leave time, which is reserved for closing the callers' port and the peers' connections and for the
 	// end of the process.
 	shutdownReserve = httpd.StopSlack + peersReserve + exitReserve
 	peersReserve    = 250 * time.Millisecond
@@ -39,11 +39,11 @@
 	}
 }
 
-// closing reports whether callers are told to connect to another host.
+// closing reports whether callers' connections are closed after the next response, so that callers connect to another host.
 func (r *Router) closing() bool { return r.leaving.Load() }
 
 // stopsBefore reports whether the process is likely to end before the request does. By then callers have had time to move to other hosts;
-// one that still sends requests is better refused at once than cut off while the request runs.
+// a request that still arrives is better refused at once than lost when the process ends.
 func (r *Router) stopsBefore(req *request) bool {
 	if !r.leaving.Load() {
 		return false
@@ -53,7 +53,7 @@
 }
 
 // stop shuts the daemon down. Health reports it at once, callers are served until they have had time to move to other hosts, other daemons
-// are told to send no more requests for the instance, and the process ends when no request is in flight or its time is up.
+// are told to send no more requests for the instance, and the process ends when no request is in flight or the leave time is over.
 func (r *Router) stop() {
 	leftAt := time.Now()
 	end := leftAt.Add(r.settings.LeaveTime - shutdownReserve)
--- a/internal/app/router/place.go
+++ b/internal/app/router/place.go
@@ -28,11 +28,11 @@
 		if ctx.Err() != nil || !now.Before(req.deadline) {
 			return deadlineAnswer(ctx, last)
 		}
-		if tracker.Delivered() && !r.repeats.Spend(req.service, req.priority, now) {
+		if tracker.Delivered() && !r.retryBudget.Spend(req.service, req.priority, now) {
 			return last
 		}
-		candidates, lastResort := tracker.Candidates(r.candidates(req.service))
-		inst, ok := r.balancer.Pick(candidates, lastResort, req.deadline.Sub(now), now)
+		candidates, excluded := tracker.Candidates(r.candidates(req.service))
+		inst, ok := r.balancer.Pick(candidates, excluded, req.deadline.Sub(now), now)
 		if !ok {
 			return last
 		}
@@ -48,7 +48,7 @@
 }
 
 // lastingAnswer returns the response after a further attempt. If an earlier instance has run the request or may have, it keeps that
-// response over a refusal: otherwise the caller would be told, wrongly, that nothing was run.
+// response over a refusal: otherwise the caller would wrongly learn that nothing was run.
 func lastingAnswer(previous, next call.Answer) call.Answer {
 	if previous.Outcome != call.NotRun && next.Outcome == call.NotRun {
 		return previous
@@ -60,10 +60,10 @@
 // another daemon decided on that retry.
 func (r *Router) updateRetryBudget(req *request) {
 	if req.retry {
-		r.repeats.Charge(req.service, req.arrivedAt)
+		r.retryBudget.Charge(req.service, req.arrivedAt)
 		return
 	}
-	r.repeats.Earn(req.service, req.arrivedAt)
+	r.retryBudget.Earn(req.service, req.arrivedAt)
 }
 
 // candidates returns the service's instances without those whose daemon is leaving or has missed heartbeats, unless there are no others.
--- a/internal/app/router/record.go
+++ b/internal/app/router/record.go
@@ -128,8 +128,8 @@
 }
 
 type kindMetrics struct {
-	answers tally.Counter
-	seconds tally.Histogram
+	responses tally.Counter
+	seconds   tally.Histogram
 }
 
 func newResponseMetrics(scope telemetry.Scope) *responseMetrics {
@@ -138,7 +138,7 @@
 
 func (m *responseMetrics) add(answer call.Answer, took time.Duration) {
 	metrics := m.of(responseKind{answer.Outcome, answer.Reason})
-	metrics.answers.Inc(1)
+	metrics.responses.Inc(1)
 	metrics.seconds.RecordDuration(took)
 }
 
@@ -148,7 +148,7 @@
 	metrics := m.byKind[kind]
 	if metrics == nil {
 		scope := m.scope.Tagged(map[string]string{"outcome": kind.outcome.String(), "reason": kind.reason.String()})
-		metrics = &kindMetrics{answers: scope.Counter(telemetry.Answers), seconds: scope.Latencies(telemetry.AnswerSeconds)}
+		metrics = &kindMetrics{responses: scope.Counter(telemetry.Answers), seconds: scope.Latencies(telemetry.AnswerSeconds)}
 		m.byKind[kind] = metrics
 	}
 	return metrics
--- a/internal/app/router/reload.go
+++ b/internal/app/router/reload.go
@@ -8,7 +8,7 @@
 // at the next start.
 func (r *Router) Reload(s Settings) {
 	addressesDiffer := s.Callers != r.settings.Callers || s.Peers != r.settings.Peers || s.Health != r.settings.Health || s.Instance != r.settings.Instance
-	r.repeats.SetLimits(s.Repeats)
+	r.retryBudget.SetLimits(s.Repeats)
 	r.log.WithFields(logrus.Fields{
 		"repeatRatio": s.Repeats.Ratio, "repeatSlack": s.Repeats.Slack, "repeatWindowMs": s.Repeats.Window.Milliseconds(), "addressesDiffer": addressesDiffer,
 	}).Info("reload")
--- a/internal/app/router/router.go
+++ b/internal/app/router/router.go
@@ -36,14 +36,14 @@
 	leftAt        atomic.Int64
 	peers         *peer.Node
 
-	splitter *split.Splitter
-	balancer *choice.Balancer
-	quota    *quota.Quota
-	repeats  *repeats.Budget
-	shedder  *shed.Shedder
-	executor *executor
-	control  *control
-	reporter *reporter
+	splitter    *split.Splitter
+	balancer    *choice.Balancer
+	quota       *quota.Quota
+	retryBudget *repeats.Budget
+	shedder     *shed.Shedder
+	executor    *executor
+	control     *control
+	reporter    *reporter
 
 	callers  *httpd.Server
 	health   *httpd.Server
@@ -54,15 +54,15 @@
 // New returns a router with checked settings; it does nothing until Run.
 func New(settings Settings, source Source, heads Heads, log *logrus.Logger) *Router {
 	r := &Router{
-		settings: settings,
-		log:      log,
-		metrics:  telemetry.NewMetrics(settings.Host, settings.Zone),
-		heads:    heads,
-		splitter: split.NewRandom(),
-		balancer: choice.New(settings.Zone, choice.Without(settings.Without)),
-		quota:    quota.New(),
-		repeats:  repeats.New(settings.Repeats),
-		shedder:  shed.New(shed.Without(settings.Without)),
+		settings:    settings,
+		log:         log,
+		metrics:     telemetry.NewMetrics(settings.Host, settings.Zone),
+		heads:       heads,
+		splitter:    split.NewRandom(),
+		balancer:    choice.New(settings.Zone, choice.Without(settings.Without)),
+		quota:       quota.New(),
+		retryBudget: repeats.New(settings.Repeats),
+		shedder:     shed.New(shed.Without(settings.Without)),
 	}
 	r.responses = newResponseMetrics(r.metrics.Scope)
 	r.view.Store(catalog.New().View(nil))
--- a/internal/app/router/taken.go
+++ b/internal/app/router/taken.go
@@ -10,7 +10,7 @@
 
 // handleRun runs a request that another daemon hands over, unless this daemon is closed to peers.
 //
-// Other daemons learn of the shutdown within a heartbeat. A request that still arrives is refused in the same round trip and goes to
+// Other daemons learn of the shutdown within a heartbeat interval. A request that still arrives is refused in the same round trip and goes to
 // another instance; if it ran here, it could outlast the process.
 func (r *Router) handleRun(ctx context.Context, _ netip.AddrPort, req runRequest) runResult {
 	r.inFlight.Add(1)
--- a/internal/app/router/watch.go
+++ b/internal/app/router/watch.go
@@ -133,7 +133,7 @@
 		c.router.log.WithError(err).Warn("store lost")
 	}
 	if now.Sub(since) >= outageThreshold {
-		c.do(func() { c.lastOutage = now })
+		c.do(func() { c.lastOutageAt = now })
 	}
 	c.router.reporter.trigger()
 	c.fetchFromSeeds()
@@ -145,7 +145,7 @@
 	}
 	c.router.log.WithField("afterMs", now.Sub(since).Milliseconds()).Info("store regained")
 	if now.Sub(since) >= outageThreshold {
-		c.do(func() { c.lastOutage = now })
+		c.do(func() { c.lastOutageAt = now })
 	}
 }
 
