--- a/internal/fleet/catalog/catalog_test.go
+++ b/internal/fleet/catalog/catalog_test.go
@@ -29,7 +29,7 @@
 func TestStoreOutage(t *testing.T) {
 	// Guards against refusing every request after an outage of the store that outlasts the entries' time to live: they expire though
 	// all instances are live, and without the grace period they would be unknown until they have registered again.
-	Convey("Entries that are missing right after an outage are kept until live instances must be back, and then removed", t, func() {
+	Convey("Entries that are missing right after an outage are kept until live instances must have registered again, and then removed", t, func() {
 		c := New()
 		c.Apply(Changes{Revision: 5, Whole: true, Entries: []Entry{instance("a", "10.0.0.1:80", 3), instance("b", "10.0.0.2:80", 4)}}, start, time.Time{})
 		recovered := start.Add(10 * time.Second)
@@ -42,8 +42,8 @@
 		So(c.Expire(graceEnd), ShouldBeTrue)
 		So(ids(c), ShouldResemble, map[string]bool{"a": true})
 	})
-	// Guards against removing an instance late: a host was partitioned and is back, and a moment later an instance stops without draining.
-	// Only the removal of its entry shows that, and it serves for just two more seconds.
+	// Guards against removing an instance late: soon after a host is back from a partition, an instance stops without draining. The removal
+	// of its entry is the only sign, and the instance serves for just two more seconds after it.
 	Convey("An entry that is removed later is dropped at once", t, func() {
 		c := New()
 		c.Apply(Changes{Revision: 5, Whole: true, Entries: []Entry{instance("a", "10.0.0.1:80", 3)}}, start, time.Time{})
--- a/internal/fleet/catalog/view.go
+++ b/internal/fleet/catalog/view.go
@@ -19,7 +19,7 @@
 	hosts     []netip.Addr
 }
 
-// View returns a snapshot; its table is rebuilt only if the configuration is not the previous view's.
+// View returns a snapshot; its table is rebuilt only if the configuration's version differs from the previous view's.
 func (c *Catalog) View(previous *View) *View {
 	view := &View{Revision: c.revision, services: map[string][]routing.Instance{}, byID: map[string]routing.Instance{}}
 	switch {
--- a/internal/fleet/collect/collector.go
+++ b/internal/fleet/collect/collector.go
@@ -48,9 +48,9 @@
 	observedAt  time.Time
 	// work is what the group's instances have done since the last group heartbeat, by service.
 	work map[string]Work
-	// leavingBy has the hosts whose daemons are shutting down, by the daemon that reported them.
-	leavingBy map[netip.AddrPort]leavingReport
-	monitor   heartbeatMonitor
+	// leavingReports has the last report of each daemon on hosts whose daemons are shutting down.
+	leavingReports map[netip.AddrPort]leavingReport
+	monitor        heartbeatMonitor
 	// groupReportedAt is when this daemon last sent a group heartbeat.
 	groupReportedAt time.Time
 	// otherReply is the last reply of another collector, which made its plan at otherPlanMadeAt.
@@ -79,7 +79,7 @@
 func New(observer Observer, disabled mechanism.Set) *Collector {
 	return &Collector{
 		observer: observer, disabled: disabled, demand: demand.New(), rates: quota.NewPool(), graph: graph.New(), planner: allot.New(),
-		work: map[string]Work{}, leavingBy: map[netip.AddrPort]leavingReport{}, monitor: newHeartbeatMonitor(),
+		work: map[string]Work{}, leavingReports: map[netip.AddrPort]leavingReport{}, monitor: newHeartbeatMonitor(),
 	}
 }
 
@@ -216,23 +216,23 @@
 // recordLeaving records which hosts a daemon reports as shutting down.
 func (c *Collector) recordLeaving(hb Heartbeat, now time.Time) {
 	if len(hb.Leaving) == 0 {
-		delete(c.leavingBy, hb.From)
+		delete(c.leavingReports, hb.From)
 		return
 	}
 	for _, host := range hb.Leaving {
-		if !slices.Contains(c.leavingBy[hb.From].hosts, host) {
+		if !slices.Contains(c.leavingReports[hb.From].hosts, host) {
 			c.observer.DaemonLeaving(host)
 		}
 	}
-	c.leavingBy[hb.From] = leavingReport{hb.Leaving, now}
+	c.leavingReports[hb.From] = leavingReport{hb.Leaving, now}
 }
 
 // leavingHosts returns the hosts whose daemons are shutting down, as reported to this collector or by the other collector whose reply is
 // current.
 func (c *Collector) leavingHosts(now time.Time) []netip.Addr {
-	maps.DeleteFunc(c.leavingBy, func(_ netip.AddrPort, report leavingReport) bool { return now.Sub(report.at) > leavingTTL })
+	maps.DeleteFunc(c.leavingReports, func(_ netip.AddrPort, report leavingReport) bool { return now.Sub(report.at) > leavingTTL })
 	var all []netip.Addr
-	for _, report := range c.leavingBy {
+	for _, report := range c.leavingReports {
 		all = append(all, report.hosts...)
 	}
 	if now.Sub(c.otherPlanMadeAt) <= relayTTL {
@@ -269,7 +269,7 @@
 	hb.Counts, hb.CountedFor = c.rates.Totals(now)
 	hb.Work, c.work = c.work, map[string]Work{}
 	hb.Calls = c.graph.Edges().Clone()
-	for from, report := range c.leavingBy {
+	for from, report := range c.leavingReports {
 		if now.Sub(report.at) <= leavingTTL && !c.demand.IsGroup(from) {
 			hb.Leaving = append(hb.Leaving, report.hosts...)
 		}
--- a/internal/fleet/collect/layout.go
+++ b/internal/fleet/collect/layout.go
@@ -42,7 +42,7 @@
 }
 
 // group identifies a group of hosts within one availability zone. Groups don't span availability zones: this saves heartbeats a hop between
-// them, and the loss of an availability zone takes away no other's collector.
+// them, and the loss of one availability zone leaves the hosts of the others with their collectors.
 type group struct {
 	zone  string
 	index uint64
@@ -143,6 +143,6 @@
 
 // Position returns the number of hosts before this one in the fleet's order.
 func (t *Topology) Position(host netip.Addr) int {
-	position, _ := slices.BinarySearchFunc(t.order, hashOf(host), func(h hashedHost, r uint64) int { return cmp.Compare(h.hash, r) })
+	position, _ := slices.BinarySearchFunc(t.order, hashOf(host), func(h hashedHost, hash uint64) int { return cmp.Compare(h.hash, hash) })
 	return position
 }
--- a/internal/fleet/demand/collector.go
+++ b/internal/fleet/demand/collector.go
@@ -23,7 +23,7 @@
 	retryRates map[string]repeats.Rates
 	services   map[string]Service
 	sweptAt    time.Time
-	// fairCaps has each daemon's maximum share of a service's retries, as computed at fairCapsAt.
+	// fairCaps has the maximum retry rate of one daemon by service, as computed at fairCapsAt.
 	fairCaps   map[string]float64
 	fairCapsAt time.Time
 	// grants are the retry rates that the fleet's collector granted to all daemons of this group together, as of grantsAt.
@@ -46,7 +46,7 @@
 // Service sums what is observed of instances of one service.
 type Service struct {
 	Instances int `msgpack:"instances"`
-	// Saturation is the sum over the instances. The saturation of one is slots in use / slots while some are free; with all in use it is
+	// Saturation is the sum over the instances. The saturation of one instance is slots in use / slots while some are free; with all in use it is
 	// one plus expected wait / wait unit (50 ms in the router), so it exceeds 1.
 	Saturation float64 `msgpack:"fullness"`
 	// Slots is the number of slots that can be used now.
@@ -69,8 +69,8 @@
 }
 
 const (
-	// reportTTL is how long a report is valid without a new one, several heartbeat intervals: an unreachable daemon sends nothing, and the
-	// clients of its host move to other hosts.
+	// reportTTL is how long a report is valid if no new one arrives, several heartbeat intervals: an unreachable daemon sends nothing, and
+	// the clients of its host move to other hosts.
 	reportTTL = 1200 * time.Millisecond
 	// sweepInterval is how often expired reports are looked for.
 	sweepInterval = 300 * time.Millisecond
@@ -180,13 +180,13 @@
 }
 
 // Grants returns the retry rate granted to the given number of daemons for each service that they name, in retries a second.
-func (c *Collector) Grants(demanded map[string]repeats.Rates, daemons int, now time.Time) map[string]float64 {
+func (c *Collector) Grants(retryRates map[string]repeats.Rates, daemons int, now time.Time) map[string]float64 {
 	if now.Sub(c.fairCapsAt) > fairCapsInterval {
 		c.fairCapsAt = now
 		c.computeFairCaps(now)
 	}
-	all := make(map[string]float64, len(demanded))
-	for name, rates := range demanded {
+	all := make(map[string]float64, len(retryRates))
+	for name, rates := range retryRates {
 		fairCap, ok := c.fairCaps[name]
 		if !ok {
 			fairCap = math.Inf(1)
@@ -196,7 +196,7 @@
 	return all
 }
 
-// computeFairCaps computes the maximum share of one daemon in each service's retries, for services that have fewer than all daemons want.
+// computeFairCaps computes the maximum retry rate of one daemon for each service whose daemons want at least as many retries as are available.
 func (c *Collector) computeFairCaps(now time.Time) {
 	clear(c.fairCaps)
 	wanted := map[string][]float64{}
--- a/internal/fleet/graph/graph.go
+++ b/internal/fleet/graph/graph.go
@@ -16,9 +16,10 @@
 const (
 	// smoothingFactor is the weight of one daemon's report in the moving average of a known edge.
 	smoothingFactor = 0.2
-	// minCalls is the minimum number of sub-calls per run that makes an edge: now and then a sub-call is attributed to the wrong run.
+	// minCalls is the minimum number of sub-calls per run that makes an edge: now and then a sub-call is attributed to the wrong run. Hops
+	// doesn't follow fewer requests than this either.
 	minCalls = 0.1
-	// maxRoutes bounds the calling routes that are retained over many configuration changes.
+	// maxRoutes bounds the calling routes that accumulate over many configuration changes; beyond it the graph is emptied.
 	maxRoutes = 20_000
 )
 
--- a/internal/fleet/graph/graph_test.go
+++ b/internal/fleet/graph/graph_test.go
@@ -30,7 +30,7 @@
 		So(requestsByService(e, "pay"), ShouldResemble, map[string]float64{"billing": 0.9, "front": 0.1, "photos": 1, "trucks": 5})
 		So(requestsByService(e, "upload"), ShouldResemble, map[string]float64{"photos": 1})
 	})
-	Convey("Following routes that call each other ends", t, func() {
+	Convey("Hops returns for routes that call each other", t, func() {
 		g := New()
 		g.Merge(Edges{"lookup": {"balance": 1}, "balance": {"lookup": 1}})
 		So(requestsByService(g.Edges(), "lookup")["billing"], ShouldBeLessThan, 20)
--- a/internal/fleet/ledger/pending_test.go
+++ b/internal/fleet/ledger/pending_test.go
@@ -12,11 +12,11 @@
 func TestOnlyRepliesMissing(t *testing.T) {
 	old, young := RecallReply{MemoryAge: time.Hour}, RecallReply{MemoryAge: time.Second}
 	cases := []struct {
-		name    string
-		own     RecallReply
-		moves   []Transfer
-		replies map[string]RecallReply
-		pending bool
+		name               string
+		own                RecallReply
+		transfers          []Transfer
+		replies            map[string]RecallReply
+		onlyRepliesMissing bool
 	}{
 		{"all records reach far enough back", old, nil, map[string]RecallReply{"b": old, "c": old}, false},
 		{"one daemon does not reply", old, nil, map[string]RecallReply{"b": old}, true},
@@ -30,10 +30,10 @@
 	for _, c := range cases {
 		Convey(c.name, t, func() {
 			evidence := Evidence{
-				Self: "a", Own: c.own, Transfers: c.moves, Window: time.Hour, MaxKeyAge: time.Minute,
+				Self: "a", Own: c.own, Transfers: c.transfers, Window: time.Hour, MaxKeyAge: time.Minute,
 				PossibleHolders: []string{"a", "b", "c"}, Replies: c.replies,
 			}
-			So(evidence.OnlyRepliesMissing(), ShouldEqual, c.pending)
+			So(evidence.OnlyRepliesMissing(), ShouldEqual, c.onlyRepliesMissing)
 			So(evidence.OnlyRepliesMissing() && evidence.ProvesNew(), ShouldBeFalse)
 		})
 	}
--- a/internal/fleet/member/pace.go
+++ b/internal/fleet/member/pace.go
@@ -4,10 +4,10 @@
 
 // probeLimiter bounds the rate of probes, which are attempts to reach hosts with failures.
 //
-// Designed for regions that are partitioned for an hour: one neighbour in the other region after the other becomes a
-// suspect, hundreds in the end. Probed every probeInterval each, they would cost every daemon hundreds of connections a
-// second, which shows as processor time without traffic. When a suspect answers again, others probably do too, and get
-// no work until they are probed; so the rate is higher for a while.
+// Designed for regions that are partitioned for an hour: the neighbours in the other region become suspects one by one,
+// hundreds in the end. If each were probed every probeInterval, every daemon would open hundreds of connections a second,
+// which shows as processor time without traffic. When a suspect answers again, others probably do too, and get no work
+// until they are probed; so the rate is higher for a while.
 type probeLimiter struct {
 	// allowed is the number of probes that may be sent at once, as in a token bucket, at the time updatedAt.
 	allowed   float64
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -35,8 +35,8 @@
 	probeInterval = 2 * time.Second
 )
 
-// hostState is what is known of one host. transmissions counts how often its news has been sent, failures those in a
-// row, and attemptedAt is when it was last tried to reach it.
+// hostState is what is known of one host. transmissions counts how often its news has been sent, failures counts failures
+// in a row, and attemptedAt is the time of the last failed attempt or probe.
 type hostState struct {
 	incarnation      uint64
 	leaving          bool
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -9,7 +9,7 @@
 // View is an immutable view of the hosts that get no new work.
 type View struct {
 	leaving map[string]bool
-	// suspect has the time since which each suspect is one.
+	// suspect has the suspects, with the time at which each became one.
 	suspect map[string]time.Time
 }
 
@@ -43,7 +43,7 @@
 // Empty reports whether no host is leaving or a suspect.
 func (v *View) Empty() bool { return len(v.leaving) == 0 && len(v.suspect) == 0 }
 
-// Leaving reports whether the host reported that it is leaving, or refused work for that.
+// Leaving reports whether the host reported that it is leaving, or refused work because it is.
 func (v *View) Leaving(host string) bool { return v.leaving[host] }
 
 // Suspect reports whether the last attempts to reach the host failed.
--- a/internal/fleet/rate/apart_test.go
+++ b/internal/fleet/rate/apart_test.go
@@ -16,7 +16,7 @@
 	now   time.Time
 	homes map[rate.Member]*rate.Home
 	order []rate.Member
-	// partitioned tells whether the two hosts can't reach each other.
+	// partitioned reports whether the two hosts can't reach each other.
 	partitioned func(a, b rate.Member) bool
 }
 
--- a/internal/fleet/rate/bucket.go
+++ b/internal/fleet/rate/bucket.go
@@ -88,7 +88,8 @@
 
 // settle applies what the borrower reports about its account; false means that
 // there is no such account. An expired account must not be reopened under
-// its old name: the borrower would go on to spend what counts as spent here.
+// its old identifier: the borrower would go on to spend tokens that this
+// home already counts as spent.
 func (b *bucket) settle(key accountKey, item LeaseItem, birth func() uint64) (*loanAccount, bool) {
 	element, ok := b.accounts[key]
 	if !ok {
--- a/internal/fleet/rate/home.go
+++ b/internal/fleet/rate/home.go
@@ -68,9 +68,9 @@
 	Members  int
 	Vouching bool
 	MayLend  bool
-	// Listed tells whether the host list has this process as a member; one that is not listed only borrows.
+	// Listed says whether the host list has this process as a member; one that is not listed only borrows.
 	Listed bool
-	// Settled tells whether a quorum is known to have this version of the host list, so that new shards may be taken.
+	// Settled says whether a quorum is known to have this version of the host list, so that new shards may be taken.
 	Settled bool
 	// LendsUntil is when the right to lend ends unless it is confirmed again; zero means no end, or no right to lend.
 	LendsUntil time.Time
--- a/internal/fleet/rate/limits.go
+++ b/internal/fleet/rate/limits.go
@@ -12,14 +12,14 @@
 	Fence time.Duration
 	// Loan is how long lent tokens may be spent, counted by the borrower from when it sent the lease request.
 	Loan time.Duration
-	// Shards is the number of parts that each rate and burst is divided into, 1 to 64. With more shards a
-	// crashed home affects a smaller part of a rate, and more messages are needed.
+	// Shards is the number of shards that each rate and burst is divided into, 1 to 64. With more shards a
+	// crashed home affects a smaller fraction of a rate, and more messages are needed.
 	Shards int
 }
 
-// Default limits. The fence outlasts a partition between regions of one hour.
+// Default limits. The fence outlasts a one-hour partition between regions.
 const (
-	// DefaultFence and DefaultLoan suit links of milliseconds and partitions of an hour.
+	// DefaultFence and DefaultLoan suit links with latencies of milliseconds and partitions of an hour.
 	DefaultFence = 95 * time.Minute
 	DefaultLoan  = time.Second
 	// DefaultShards is the same for all plans, so that a change of plan moves no shard to another home.
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// minFenceLoans is the shortest fence, in loans. At 20, half of the time between tenure and fence is left for the last loans.
+// minFenceLoans is the shortest fence, in loans. At 20, half of the time between the end of the tenure and that of the fence is left for the last loans.
 const minFenceLoans = 20
 
 // Tenure is how long a home may lend after a quorum has confirmed its list. It ends
--- a/internal/fleet/rate/membership.go
+++ b/internal/fleet/rate/membership.go
@@ -33,7 +33,7 @@
 	// changes has the last change of each member that was added or removed lately.
 	changes map[Member]listChange
 	// statements has the newest statement of each member whose list is not newer than the own;
-	// pending has those for a newer list, until that arrives here.
+	// pending has those for a newer list, until this process receives that list.
 	statements map[Member]statementSummary
 	pending    map[Member]receivedStatement
 	// states has the same for the listed members, in the order of the roster; indexes gives their positions.
@@ -181,9 +181,9 @@
 
 // Answer records the asking member's statement and returns this process's own.
 //
-// The asker's incarnation must be recorded before the answer is sent: an answer
-// that helps a restarted process to begin must also void, at this host, the
-// statement of the process before it that it gave up its shards.
+// The asker's incarnation must be recorded before the answer is sent. The answer may
+// help a restarted process to begin, so from then on this host must no longer rely on
+// the statement of that member's earlier process that it gave up its shards.
 func (m *Membership) Answer(ask Statement, now time.Time) Statement {
 	m.recordSender(ask, now)
 	return m.Statement(now)
--- a/internal/fleet/rate/statement.go
+++ b/internal/fleet/rate/statement.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Statement is what a daemon reports about itself and the host list, both when it asks another member and when it answers.
-// Vouching is false while the sender can't confirm lists, since it has restarted and has not yet heard from enough members.
+// Vouching is false while the sender can't confirm lists, since it has restarted and has not yet received statements from enough members.
 // Ceased means that it has given up its shards for good.
 type Statement struct {
 	From        Member   `msgpack:"from"`
@@ -20,7 +20,7 @@
 	Member  Member `msgpack:"member"`
 	In      bool   `msgpack:"in"`
 	Version uint64 `msgpack:"version"`
-	// Reached tells whether a quorum is known to have this version or a newer one, and Age for how long at least.
+	// Reached says whether a quorum is known to have this version or a newer one, and Age for how long at least.
 	Reached bool          `msgpack:"reached"`
 	Age     time.Duration `msgpack:"age"`
 }
--- a/internal/fleet/spread/archive.go
+++ b/internal/fleet/spread/archive.go
@@ -39,7 +39,7 @@
 var ErrNothingNewer = errors.New("spread: the peer has no newer version")
 
 const (
-	// maxSplices covers a burst of changes between two exchanges of a peer.
+	// maxSplices covers a burst of changes between two exchanges with a peer.
 	maxSplices = 8
 	// maxSpliceBytes bounds the memory that the splices of one list take.
 	maxSpliceBytes = 128 << 10
@@ -50,7 +50,7 @@
 // Archive keeps the values in force and the most recent changes to them as splices.
 //
 // A change to one organisation or one host alters a few hundred bytes of a value of up to a
-// megabyte. If it were sent whole at 2,800 changes a day, a host list of 3,400 entries
+// megabyte. If values were sent whole at 2,800 changes a day, a host list of 3,400 entries
 // alone would take several times the 4 KB/s that a daemon may use.
 type Archive struct {
 	values  [lists.Kinds]lists.Value
--- a/internal/fleet/spread/events_test.go
+++ b/internal/fleet/spread/events_test.go
@@ -2,6 +2,7 @@
 
 import "time"
 
+// change is a version that came into force at a node.
 type change struct {
 	at      time.Time
 	version uint64
@@ -13,6 +14,7 @@
 	run      func()
 }
 
+// events is a heap of events, ordered by time and then by sequence.
 type events []event
 
 func (e events) Len() int { return len(e) }
--- a/internal/fleet/spread/network_platform_test.go
+++ b/internal/fleet/spread/network_platform_test.go
@@ -6,7 +6,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// read reads the hosts list or all lists from the platform.
+// read reads the host list or all lists from the platform.
 func (d *node) read(what Read) {
 	n := d.net
 	kinds := []lists.Kind{lists.KindHosts}
--- a/internal/fleet/spread/network_test.go
+++ b/internal/fleet/spread/network_test.go
@@ -348,8 +348,8 @@
 	n.advance(8 * time.Second)
 }
 
-// behind returns which running nodes don't have the newest versions or take no callers; empty means that there are none.
-func (n *network) behind() []string {
+// laggingNodes returns which running nodes don't have the newest versions or take no callers; empty means that there are none.
+func (n *network) laggingNodes() []string {
 	var out []string
 	for _, h := range n.hosts {
 		d := n.nodes[h.Host]
--- a/internal/fleet/spread/readers_test.go
+++ b/internal/fleet/spread/readers_test.go
@@ -51,7 +51,7 @@
 		n.advance(time.Minute)
 		So(n.reads, ShouldBeGreaterThan, 0)
 		So(float64(n.reads)/60, ShouldBeLessThan, 200)
-		So(n.behind(), ShouldBeEmpty)
+		So(n.laggingNodes(), ShouldBeEmpty)
 	})
 }
 
@@ -66,7 +66,7 @@
 			n.after(time.Duration(n.rng.Int64N(int64(time.Second))), n.nodes[h.Host].start)
 		}
 		took := time.Duration(0)
-		for took < 20*time.Second && (took < time.Second || len(n.behind()) > 0) {
+		for took < 20*time.Second && (took < time.Second || len(n.laggingNodes()) > 0) {
 			n.advance(100 * time.Millisecond)
 			took += 100 * time.Millisecond
 		}
@@ -83,7 +83,7 @@
 			for range 3 {
 				n.publish(lists.KindKeys, "keys of many words that stay")
 				n.advance(3 * time.Second)
-				So(n.behind(), ShouldBeEmpty)
+				So(n.laggingNodes(), ShouldBeEmpty)
 			}
 			So(n.faults, ShouldBeEmpty)
 		})
@@ -116,7 +116,7 @@
 			for b.Loop() {
 				n.publish(lists.KindKeys, "keys of many words that stay")
 				took := time.Duration(0)
-				for len(n.behind()) > 0 && took < time.Minute {
+				for len(n.laggingNodes()) > 0 && took < time.Minute {
 					n.advance(20 * time.Millisecond)
 					took += 20 * time.Millisecond
 				}
--- a/internal/fleet/spread/reading.go
+++ b/internal/fleet/spread/reading.go
@@ -13,7 +13,7 @@
 const (
 	// ReadNothing means no read.
 	ReadNothing Read = iota
-	// ReadHosts means one read of the hosts list.
+	// ReadHosts means one read of the host list.
 	ReadHosts
 	// ReadAll means one read of every list.
 	ReadAll
@@ -21,7 +21,7 @@
 
 const (
 	// firstReadSpread spreads the first reads of daemons that start together and know no peer. Each
-	// reads the hosts list alone: 3,400 that start in the same second make about 1,400 reads a second.
+	// reads the host list alone: 3,400 that start in the same second make about 1,400 reads a second.
 	firstReadSpread = 2500 * time.Millisecond
 	// seedHeadStart is how long a daemon with seeds waits for lists from them before it reads the platform.
 	seedHeadStart = time.Second
@@ -47,7 +47,7 @@
 // each waits a random time in proportion to the fleet's size.
 //
 // A daemon that starts doesn't know the fleet's size, and without seeds it has no
-// peer to ask. It reads the hosts list alone, one call instead of four, which gives
+// peer to ask. It reads the host list alone, one call instead of four, which gives
 // it its peers. Readers then read all lists at once, and the other daemons get
 // them from peers long before their own full read is due.
 type readSchedule struct {
@@ -55,7 +55,7 @@
 	answered   bool
 	answeredAt time.Time
 	backoff    time.Duration
-	// nextRead is when the next read is due: of every list while the daemon is serving, else of the hosts list.
+	// nextRead is when the next read is due: of every list while the daemon is serving, else of the host list.
 	nextRead time.Time
 	// nextFullRead is when a daemon that isn't serving and knows the hosts reads every list; zero means not yet scheduled.
 	nextFullRead time.Time
@@ -119,7 +119,7 @@
 }
 
 // dueWithHosts returns what a daemon that isn't serving and has a host list reads now. It also reads
-// the hosts list alone from time to time, since its peers may have moved to other addresses.
+// the host list alone from time to time, since its peers may have moved to other addresses.
 func (p *readSchedule) dueWithHosts(c *Core, now time.Time, skip func(host string) bool) Read {
 	if p.nextFullRead.IsZero() {
 		p.nextFullRead, p.nextRead = now, now.Add(c.wideJitter(maxBackoff))
--- a/internal/fleet/spread/schedule_test.go
+++ b/internal/fleet/spread/schedule_test.go
@@ -19,7 +19,7 @@
 	Convey("A fleet whose daemons all start at the same time takes callers within seconds", t, func() {
 		n := newNetwork(rand.New(rand.NewPCG(1, 1)), 3, 4)
 		n.startAll()
-		So(n.behind(), ShouldBeEmpty)
+		So(n.laggingNodes(), ShouldBeEmpty)
 		So(n.faults, ShouldBeEmpty)
 	})
 }
@@ -34,7 +34,7 @@
 		for range 5 {
 			n.publish(lists.KindKeys, fmt.Sprintf("keys without number %d", n.newest[lists.KindKeys].Version))
 			n.advance(3 * time.Second)
-			So(n.behind(), ShouldBeEmpty)
+			So(n.laggingNodes(), ShouldBeEmpty)
 		}
 		So(n.faults, ShouldBeEmpty)
 	})
@@ -57,7 +57,7 @@
 		{"both answer", "up", true, 0, 5, Serving},
 	}
 	// A host restarts while the platform is down, or serves a replica that is hours
-	// old. If the daemon took callers then, a withdrawn key would work once more.
+	// old. If the daemon took callers then, a withdrawn key would be accepted.
 	Convey("A daemon that starts takes callers only after an answer that confirms its versions", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
@@ -99,7 +99,7 @@
 			n.nodes[host].start()
 			n.advance(6 * time.Second)
 		}
-		So(n.behind(), ShouldBeEmpty)
+		So(n.laggingNodes(), ShouldBeEmpty)
 		So(n.faults, ShouldBeEmpty)
 	})
 }
@@ -117,7 +117,7 @@
 		paused.resume()
 		So(paused.takesCallers(), ShouldBeFalse)
 		n.advance(2 * time.Second)
-		So(n.behind(), ShouldBeEmpty)
+		So(n.laggingNodes(), ShouldBeEmpty)
 		So(n.faults, ShouldBeEmpty)
 	})
 }
@@ -137,14 +137,14 @@
 		So(isolated.takesCallers(), ShouldBeFalse)
 		n.partitioned = func(string, string) bool { return false }
 		n.advance(3 * time.Second)
-		So(n.behind(), ShouldBeEmpty)
+		So(n.laggingNodes(), ShouldBeEmpty)
 	})
 	Convey("During an outage of the platform alone all daemons keep taking callers", t, func() {
 		n := newNetwork(rand.New(rand.NewPCG(7, 7)), 3, 3)
 		n.startAll()
 		n.down["z0"], n.down["z1"], n.down["z2"] = true, true, true
 		n.advance(10 * time.Minute)
-		So(n.behind(), ShouldBeEmpty)
+		So(n.laggingNodes(), ShouldBeEmpty)
 		So(n.reads, ShouldBeLessThan, 9*lists.Kinds*10*60/5)
 	})
 }
@@ -157,10 +157,10 @@
 		n.startAll()
 		n.publish(lists.KindKeys, "bad value")
 		n.advance(10 * time.Second)
-		So(n.behind(), ShouldBeEmpty)
+		So(n.laggingNodes(), ShouldBeEmpty)
 		n.publish(lists.KindKeys, "mended value")
 		n.advance(3 * time.Second)
-		So(n.behind(), ShouldBeEmpty)
+		So(n.laggingNodes(), ShouldBeEmpty)
 		So(n.faults, ShouldBeEmpty)
 	})
 }
@@ -181,7 +181,7 @@
 		}
 		n.publish(lists.KindKeys, "mended value")
 		n.advance(3 * time.Second)
-		So(n.behind(), ShouldBeEmpty)
+		So(n.laggingNodes(), ShouldBeEmpty)
 	})
 }
 
@@ -343,8 +343,8 @@
 			}
 		}
 		n.advance(15 * time.Second)
-		if behind := n.behind(); len(behind) > 0 {
-			t.Fatalf("not converged: %v", behind)
+		if lagging := n.laggingNodes(); len(lagging) > 0 {
+			t.Fatalf("not converged: %v", lagging)
 		}
 		if len(n.faults) > 0 {
 			t.Fatalf("faults: %v", n.faults)
