--- a/internal/wire/instance/client_test.go
+++ b/internal/wire/instance/client_test.go
@@ -78,7 +78,7 @@
 
 func TestIncompleteResponses(t *testing.T) {
 	// An instance crashes while it sends a response, or sends an invalid one. If a truncated response were forwarded, the caller would
-	// take a part for the whole.
+	// take it for a complete one.
 	for _, c := range []struct {
 		name, response string
 		resets         bool
--- a/internal/wire/peer/bound.go
+++ b/internal/wire/peer/bound.go
@@ -44,7 +44,7 @@
 //
 // A daemon talks to a few hosts all the time and to any other host occasionally,
 // as callers' requests are placed. If idle links were kept, each of 3,400 daemons would end up
-// with 3,400 of them, whose buffers would take more memory than its whole control plane.
+// with 3,400 of them, whose buffers would take more than all the memory that a daemon may use for control.
 func (n *Node) closeIdleLinks() {
 	ticker := time.NewTicker(n.idleTimeout / sweepsPerIdleTimeout)
 	defer ticker.Stop()
--- a/internal/wire/upstream/client_test.go
+++ b/internal/wire/upstream/client_test.go
@@ -20,7 +20,8 @@
 type serverCounts struct{ requests, conns atomic.Int32 }
 
 // startRaw starts a server that sends one of the raw responses for each request it reads, in order over
-// all connections, and closes the connection when none is left; it counts requests and connections.
+// all connections. It closes the connection after the last response, or if that is okResponse, when the
+// next request arrives. It counts requests and connections.
 func startRaw(t *testing.T, responses ...string) (netip.AddrPort, *serverCounts) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/wire/upstream/proof_test.go
+++ b/internal/wire/upstream/proof_test.go
@@ -85,7 +85,7 @@
 
 func TestResponseWithoutLength(t *testing.T) {
 	// A response that ends when the connection is closed looks the same if the upstream
-	// is killed while sending it: the caller would take a part of it for the whole.
+	// is killed while sending it: the caller would take a truncated response for a complete one.
 	Convey("A response that ends with its connection does not count as complete", t, func() {
 		address, _ := startRaw(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf a li")
 		So(New(address).Do(t.Context(), request(http.MethodPost), "t").Outcome, ShouldEqual, call.Unknown)
