--- a/internal/app/daemon/dispatch.go
+++ b/internal/app/daemon/dispatch.go
@@ -146,7 +146,7 @@
 const minFaultStatus = 500
 
 // placingResult classifies a response by what it shows about the host that sent it.
-func placingResult(a call.Answer) placing.Ending {
+func placingResult(a call.Answer) placing.Result {
 	switch {
 	case a.Outcome == call.Whole && a.Status < minFaultStatus:
 		return placing.Served
--- a/internal/decide/placing/group.go
+++ b/internal/decide/placing/group.go
@@ -33,7 +33,7 @@
 	meanLimitWeight   = 0.05
 )
 
-// setHosts replaces the host list. Hosts that stay keep their state, and hosts that are added to a known list ramp up. The same slice
+// setHosts replaces the host list. Hosts that stay keep their state, and hosts that are added after the first list ramp up. The same slice
 // means the same list.
 func (g *group) setHosts(hosts []lists.Host, location position, now time.Time) {
 	if len(hosts) == len(g.hosts) && (len(hosts) == 0 || &hosts[0] == &g.hosts[0]) {
--- a/internal/decide/placing/kind.go
+++ b/internal/decide/placing/kind.go
@@ -3,7 +3,7 @@
 import "github.com/foxtailhook/foxtailhook/internal/domain/enum"
 
 //go:generate stringer -type=Kind -linecomment
-//go:generate stringer -type=Ending -linecomment
+//go:generate stringer -type=Result -linecomment
 
 // Kind is a policy for choosing a host.
 type Kind uint8
@@ -20,12 +20,12 @@
 // ParseKind returns the kind with the given name; false if there is none.
 func ParseKind(name string) (Kind, bool) { return enum.Parse(name, LeastLatency) }
 
-// Ending is the result of a placed request, as far as it depends on the host.
-type Ending uint8
+// Result is the result of a placed request, as far as it depends on the host.
+type Result uint8
 
 const (
 	// Served means that the host's upstream responded.
-	Served Ending = iota // served
+	Served Result = iota // served
 	// Faulty means that the upstream responded with an error of its own.
 	Faulty // faulty
 	// Declined means that the host declined the request for overload.
--- a/internal/decide/placing/member.go
+++ b/internal/decide/placing/member.go
@@ -11,7 +11,7 @@
 // member is one host of a service with the state that this daemon keeps of it.
 type member struct {
 	host lists.Host
-	// addedAt is when the host was added to a known list; zero means that it needs no ramp-up.
+	// addedAt is when the host was added after the service's first list; zero means that it needs no ramp-up.
 	addedAt  time.Time
 	inFlight int
 
@@ -59,8 +59,8 @@
 // score estimates how long a request takes on the host, as a multiple of the service's mean; lower is better.
 //
 // What this daemon has observed itself counts in full: requests in flight, latency, failures. What a host reports is only a bounded
-// hint, since health and load reports lag or mislead: a host that reports to be idle isn't filled beyond what its responses bear out,
-// and one that reports to be saturated still gets some requests. Failures raise the score by a bounded factor, so that a signal that is
+// hint, since health and load reports lag or mislead: a host that reports no load gets no more requests than its responses justify,
+// and one that reports saturation still gets some requests. Failures raise the score by a bounded factor, so that a signal that is
 // wrong about all hosts doesn't change their order.
 func (m *member) score(now time.Time, meanLimit float64) float64 {
 	load := 1 + float64(m.inFlight) + m.otherLoad(now, meanLimit)
@@ -119,12 +119,12 @@
 }
 
 // settle records one result; ratio is the request's latency relative to the service's mean.
-func (m *member) settle(now time.Time, ending Ending, ratio float64) {
+func (m *member) settle(now time.Time, result Result, ratio float64) {
 	m.relativeLatency = m.relativeLatencyAt(now)
 	m.failureRate *= decay(now.Sub(m.settledAt), healthHalfLife)
 	m.declineRate *= decay(now.Sub(m.settledAt), loadHalfLife)
 	m.settledAt = now
-	switch ending {
+	switch result {
 	case Served:
 		m.relativeLatency += (min(max(ratio, minRelativeLatency), maxRelativeLatency) - m.relativeLatency) * relativeLatencyWeight
 		m.failureRate -= m.failureRate * servedWeight
--- a/internal/decide/placing/placer.go
+++ b/internal/decide/placing/placer.go
@@ -115,11 +115,11 @@
 	}
 }
 
-// pickByRegion returns a host of the daemon's own region, or one of another region with the probability that requests in the own region
-// recently went unserved.
+// pickByRegion returns a host of the daemon's own region, or one of another region with the probability that requests in it recently went
+// unserved.
 //
 // Designed for a service in several regions, tens of milliseconds apart. This daemon doesn't see the load that other daemons put on a
-// host in another region, so by its score the host looks idle: a busy day in the own region would send a fifth of the requests across
+// host in another region, so by its score the host looks idle: a busy day in the daemon's own region would send a fifth of the requests across
 // an ocean, each taking many times as long as the work itself. Refusals are known for certain, and the fraction that is sent to other
 // regions grows and decays with them, so that regions neither oscillate nor fail alone.
 func (p *Placer) pickByRegion(now time.Time, g *group, tried []string) *member {
@@ -134,7 +134,7 @@
 	return other
 }
 
-// randFraction returns a random number from 0 up to below 1, in steps fine enough for a probability.
+// randFraction returns a random number in [0, 1), in steps fine enough for a probability.
 func (p *Placer) randFraction() float64 {
 	return float64(p.randIntN(randFractionSteps)) / randFractionSteps
 }
@@ -224,16 +224,16 @@
 }
 
 // Settle ends a placement and records its result and the load that the host reported.
-func (p *Placer) Settle(now time.Time, placement Placement, operation string, ending Ending, load call.Load) {
+func (p *Placer) Settle(now time.Time, placement Placement, operation string, result Result, load call.Load) {
 	g, m := placement.group, placement.member
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m.inFlight--
 	ratio := 1.0
-	if ending == Served {
+	if result == Served {
 		ratio = g.recordLatency(operation, now.Sub(placement.startedAt))
 	}
-	m.settle(now, ending, ratio)
+	m.settle(now, result, ratio)
 	if load.Limit <= 0 {
 		return
 	}
--- a/internal/decide/placing/placer_test.go
+++ b/internal/decide/placing/placer_test.go
@@ -29,12 +29,12 @@
 }
 
 // hostModel returns the latency, result and reported load of a request, given the host and how many requests it is running.
-type hostModel func(host, running int) (time.Duration, Ending, call.Load)
+type hostModel func(host, running int) (time.Duration, Result, call.Load)
 
 type pendingResult struct {
 	at        time.Time
 	placement Placement
-	ending    Ending
+	result    Result
 	load      call.Load
 }
 
@@ -64,7 +64,7 @@
 		for len(waiting) > 0 && !waiting[0].at.After(now) {
 			d := heap.Pop(&waiting).(pendingResult)
 			running[index[d.placement.Host.Host]]--
-			p.Settle(d.at, d.placement, "op", d.ending, d.load)
+			p.Settle(d.at, d.placement, "op", d.result, d.load)
 		}
 	}
 	for now := from; now.Before(from.Add(length)); now = now.Add(every) {
@@ -75,8 +75,8 @@
 		}
 		i := index[placement.Host.Host]
 		running[i]++
-		latency, ending, load := model(i, running[i])
-		heap.Push(&waiting, pendingResult{now.Add(latency), placement, ending, load})
+		latency, result, load := model(i, running[i])
+		heap.Push(&waiting, pendingResult{now.Add(latency), placement, result, load})
 		shares[i]++
 		total++
 	}
@@ -91,7 +91,7 @@
 
 const ms = time.Millisecond
 
-func healthy(_, running int) (time.Duration, Ending, call.Load) {
+func healthy(_, running int) (time.Duration, Result, call.Load) {
 	return 5 * ms, Served, call.Load{InFlight: running, Limit: 20}
 }
 
@@ -102,39 +102,39 @@
 		// minShare and maxShare bound the share of host 0 of five.
 		minShare, maxShare float64
 	}{
-		{"a slow host gets no more than its share", func(h, n int) (time.Duration, Ending, call.Load) {
+		{"a slow host gets no more than its share", func(h, n int) (time.Duration, Result, call.Load) {
 			d, e, l := healthy(h, n)
 			if h == 0 {
 				d *= 10
 			}
 			return d, e, l
 		}, 0.002, 0.1},
-		{"an unreachable host that fails at once gets few requests", func(h, n int) (time.Duration, Ending, call.Load) {
+		{"an unreachable host that fails at once gets few requests", func(h, n int) (time.Duration, Result, call.Load) {
 			if h == 0 {
 				return ms / 10, Failed, call.Load{}
 			}
 			return healthy(h, n)
 		}, 0.001, 0.05},
-		{"an upstream that fails fast gets few requests", func(h, n int) (time.Duration, Ending, call.Load) {
+		{"an upstream that fails fast gets few requests", func(h, n int) (time.Duration, Result, call.Load) {
 			if h == 0 {
 				return ms / 10, Faulty, call.Load{Limit: 20}
 			}
 			return healthy(h, n)
 		}, 0.001, 0.1},
-		{"a slow host that reports to be idle and large gets no more than its share", func(h, n int) (time.Duration, Ending, call.Load) {
+		{"a slow host that reports no load and a high limit gets no more than its share", func(h, n int) (time.Duration, Result, call.Load) {
 			if h == 0 {
 				return 50 * ms, Served, call.Load{Limit: 1e9}
 			}
 			return healthy(h, n)
 		}, 0.002, 0.2},
-		{"a healthy host that reports to be saturated still gets requests", func(h, n int) (time.Duration, Ending, call.Load) {
+		{"a healthy host that reports a long queue still gets requests", func(h, n int) (time.Duration, Result, call.Load) {
 			d, e, l := healthy(h, n)
 			if h == 0 {
 				l.Queued = 1e9
 			}
 			return d, e, l
 		}, 0.002, 0.2},
-		{"equal failures of all hosts leave the shares equal", func(int, int) (time.Duration, Ending, call.Load) {
+		{"equal failures of all hosts leave the shares equal", func(int, int) (time.Duration, Result, call.Load) {
 			return 5 * ms, Failed, call.Load{}
 		}, 0.15, 0.25},
 	}
@@ -167,7 +167,7 @@
 	Convey("A host that was unreachable gets its share again once it responds", t, func() {
 		choose, _ := seeded()
 		p := New("elsewhere", choose)
-		drive(p, hosts(5), start, 10*time.Second, ms, func(h, n int) (time.Duration, Ending, call.Load) {
+		drive(p, hosts(5), start, 10*time.Second, ms, func(h, n int) (time.Duration, Result, call.Load) {
 			if h == 0 {
 				return ms, Failed, call.Load{}
 			}
@@ -187,7 +187,7 @@
 	})
 	Convey("Requests beyond a busy availability zone's capacity go to others", t, func() {
 		choose, _ := seeded()
-		busy := func(_, n int) (time.Duration, Ending, call.Load) {
+		busy := func(_, n int) (time.Duration, Result, call.Load) {
 			return 5 * ms * time.Duration(max(n, 10)) / 10, Served, call.Load{InFlight: n, Limit: 10}
 		}
 		shares := drive(New("a", choose), hosts(6), start, 10*time.Second, ms/8, busy)
@@ -234,7 +234,7 @@
 					tried = append(tried, placement.Host.Host)
 					running[placement.Host.Host]++
 					if rapid.Bool().Draw(t, "settled") {
-						e := Ending(rapid.IntRange(0, int(Inconclusive)).Draw(t, "ending"))
+						e := Result(rapid.IntRange(0, int(Inconclusive)).Draw(t, "result"))
 						p.Settle(now.Add(ms), placement, "op", e, call.Load{Limit: 1})
 						running[placement.Host.Host]--
 					}
--- a/internal/decide/placing/region_test.go
+++ b/internal/decide/placing/region_test.go
@@ -29,29 +29,29 @@
 
 // withRegionRTT adds the round-trip time to the latency of hosts in other regions.
 func withRegionRTT(model hostModel) hostModel {
-	return func(h, running int) (time.Duration, Ending, call.Load) {
-		took, ending, load := model(h, running)
+	return func(h, running int) (time.Duration, Result, call.Load) {
+		took, result, load := model(h, running)
 		if h >= hostsPerRegion {
 			took += regionRTT
 		}
-		return took, ending, load
+		return took, result, load
 	}
 }
 
 // Guards against placing by an unknown load: a service runs in three regions, 60 ms apart. The instances in the daemon's own region are
 // busy, as usual during the day, and those of other regions show no load because this daemon has no requests there. Lookups would cross
-// an ocean while the own region has free slots, and a dealer would wait ten times as long.
+// an ocean while the daemon's own region has free slots, and a dealer would wait ten times as long.
 func TestRegions(t *testing.T) {
-	busy := func(_, running int) (time.Duration, Ending, call.Load) {
+	busy := func(_, running int) (time.Duration, Result, call.Load) {
 		return 20 * ms, Served, call.Load{InFlight: running, Limit: 100}
 	}
-	refusing := func(h, running int) (time.Duration, Ending, call.Load) {
+	refusing := func(h, running int) (time.Duration, Result, call.Load) {
 		if h < hostsPerRegion && running > 5 {
 			return ms, Declined, call.Load{InFlight: 5, Queued: 1, Limit: 5}
 		}
 		return busy(h, running)
 	}
-	dead := func(h, running int) (time.Duration, Ending, call.Load) {
+	dead := func(h, running int) (time.Duration, Result, call.Load) {
 		if h < hostsPerRegion {
 			return ms, Failed, call.Load{}
 		}
--- a/internal/load/chain/host.go
+++ b/internal/load/chain/host.go
@@ -165,7 +165,7 @@
 func (a *attempts) settle(place placing.Placement, runs int, back answer) {
 	now := a.host.fleet.clock.Now
 	name := a.request.operation.Name + a.request.service()
-	a.host.placer.Settle(now, place, name, back.ending(), back.load)
+	a.host.placer.Settle(now, place, name, back.placingResult(), back.load)
 	a.account.Settle(runs, back.left)
 	if back.ok || back.failed {
 		a.host.needs.Learn(name, runs, runs-back.left, back.ok)
@@ -184,7 +184,7 @@
 	a.done(a.last)
 }
 
-func (a answer) ending() placing.Ending {
+func (a answer) placingResult() placing.Result {
 	switch {
 	case a.ok:
 		return placing.Served
