--- a/internal/decide/choice/choice.go
+++ b/internal/decide/choice/choice.go
@@ -63,7 +63,7 @@
 // Option sets one property of a balancer.
 type Option func(*Balancer)
 
-// WithRand sets the random source, which returns numbers from 0 to 1.
+// WithRand sets the random source, which returns numbers in [0, 1).
 func WithRand(f func() float64) Option { return func(b *Balancer) { b.rand = f } }
 
 // Without disables mechanisms.
@@ -82,9 +82,10 @@
 	// sampleSize is how many instances are compared for one request. With two, a slow one is still picked when both are slow; with
 	// all, every daemon would send to the same one until it receives newer loads.
 	sampleSize = 3
-	// localPreference is how many times slower an instance of the daemon's availability zone may be than one of another: on the way to
-	// another, more can fail and the response takes longer. The limit is spareLocalPreference while the local instance has free slots and
-	// the request is expected to finish within spareTimeFraction of its remaining time.
+	// localPreference is how many times the score of the best instance in other availability zones an instance in the daemon's own may
+	// have and still be preferred: on the way to another availability zone more can fail, and the response takes longer. The limit is
+	// spareLocalPreference while the local instance has free slots and the request is expected to finish within spareTimeFraction of its
+	// remaining time.
 	localPreference      = 1.3
 	spareLocalPreference = 2.5
 	spareTimeFraction    = 0.6
@@ -104,7 +105,7 @@
 	busyThreshold = 0.7
 	// busyPenalty is how much the expected time grows for each multiple of the slots beyond the threshold.
 	busyPenalty = 4.0
-	// loadTTL is how long a reported load counts in full, and then half: several requests per second usually refresh it.
+	// loadTTL is how long a reported load counts in full; an older one counts half. Several requests per second usually refresh it.
 	loadTTL = time.Second
 	// coldPenalty is the factor on the expected time of an instance that has just started.
 	coldPenalty = 2.0
@@ -134,7 +135,7 @@
 	if local.instance == nil || remote.instance != nil && !local.preferredTo(remote, remaining) {
 		chosen = remote
 	}
-	b.record(chosen.instance).outstanding++
+	b.recordOf(chosen.instance).outstanding++
 	return *chosen.instance, true
 }
 
@@ -188,7 +189,7 @@
 		if instances[i].Draining || tried[instances[i].ID] {
 			continue
 		}
-		if now.Before(b.record(&instances[i]).backoffUntil) {
+		if now.Before(b.recordOf(&instances[i]).backoffUntil) {
 			backedOff = append(backedOff, instances[i])
 			continue
 		}
@@ -212,7 +213,7 @@
 	avg := averages{latency: defaultLatency}
 	sum, known := 0.0, 0
 	for i := range instances {
-		r := b.record(&instances[i])
+		r := b.recordOf(&instances[i])
 		avg.faultRate += r.currentFaultRate(now) / float64(len(instances))
 		if r.latency > 0 {
 			sum, known = sum+r.latency, known+1
@@ -226,7 +227,7 @@
 
 // score returns the expected time of the request on the instance, increased by penalties for a cold start, load and faults.
 func (b *Balancer) score(i *routing.Instance, reference averages, now time.Time) scored {
-	r := b.record(i)
+	r := b.recordOf(i)
 	seconds := r.latency
 	if seconds == 0 {
 		seconds = reference.latency
@@ -268,7 +269,7 @@
 func (b *Balancer) Record(i routing.Instance, result Result, took time.Duration, load call.Load, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.record(&i)
+	r := b.recordOf(&i)
 	r.outstanding = max(r.outstanding-1, 0)
 	if load.Limit > 0 {
 		r.load, r.loadUpdated = load, now
@@ -309,7 +310,7 @@
 	for i := range instances {
 		live[instances[i].Incarnation()] = true
 		if instances[i].ColdFor > 0 {
-			b.record(&instances[i]).coldUntil = now.Add(instances[i].ColdFor)
+			b.recordOf(&instances[i]).coldUntil = now.Add(instances[i].ColdFor)
 		}
 	}
 	for key, r := range b.records {
@@ -319,7 +320,7 @@
 	}
 }
 
-func (b *Balancer) record(i *routing.Instance) *record {
+func (b *Balancer) recordOf(i *routing.Instance) *record {
 	key := i.Incarnation()
 	r := b.records[key]
 	if r == nil {
--- a/internal/decide/choice/choice_test.go
+++ b/internal/decide/choice/choice_test.go
@@ -27,7 +27,8 @@
 	return New("z0", WithRand(rng.Float64))
 }
 
-// pickedFractions picks a number of times and returns the fraction of each instance; respond decides how each request ends.
+// pickedFractions picks a number of times and returns the fraction of picks that went to each instance; respond decides how each request
+// ends.
 func pickedFractions(b *Balancer, from []routing.Instance, begin time.Time, times int, respond func(i routing.Instance) (Result, time.Duration)) map[string]float64 {
 	fractions := map[string]float64{}
 	for n := range times {
@@ -46,9 +47,9 @@
 func served(routing.Instance) (Result, time.Duration) { return Served, 50 * time.Millisecond }
 
 func TestUnhealthyInstances(t *testing.T) {
-	// Guards against random errors for callers when an instance fails part of its requests but passes its health check, so that it
+	// Guards against random errors for callers when an instance fails a fraction of its requests but passes its health check, so that it
 	// stays in the list.
-	Convey("An instance that fails half of its requests receives few", t, func() {
+	Convey("An instance that fails half of its requests receives few of them", t, func() {
 		rng := rand.New(rand.NewPCG(3, 4))
 		got := pickedFractions(newBalancer(), instances(3, "z0"), start, 1000, func(i routing.Instance) (Result, time.Duration) {
 			if i.ID == "i0" && rng.Float64() < 0.5 {
--- a/internal/decide/offers/course.go
+++ b/internal/decide/offers/course.go
@@ -15,11 +15,11 @@
 
 // Tracker tracks the attempts of one request and decides which instances may receive the next one.
 //
-// It handles services whose instances decline part of their requests at random, called several times by one request: if half
-// are declined, three attempts per sub-call complete one of three lookups with eight sub-calls, and eight attempts nearly all.
-// An instance that declined has run nothing and may be tried again without exceeding the bound on distinct instances.
+// It handles services whose instances decline a fraction of their requests at random, called several times by one request: if half
+// are declined, three attempts per sub-call complete one in three of the lookups that make eight sub-calls, and eight attempts complete
+// nearly all. An instance that declined has run nothing and may be tried again without exceeding the bound on distinct instances.
 type Tracker struct {
-	// maxInstances is the most distinct instances that may receive the request.
+	// maxInstances is the maximum number of distinct instances that may receive the request.
 	maxInstances int
 	tried        map[string]bool
 	// declined are the instances that received the request and declined it.
@@ -28,8 +28,8 @@
 	delivered   int
 	instances   int
 	undelivered int
-	// noReoffer means that declined instances are not tried again (disabled mechanism).
-	noReoffer bool
+	// noRetryDeclined means that declined instances are not tried again (disabled mechanism).
+	noRetryDeclined bool
 }
 
 // Option sets one property of a tracker.
@@ -37,7 +37,7 @@
 
 // Without disables mechanisms.
 func Without(s mechanism.Set) Option {
-	return func(t *Tracker) { t.noReoffer = s.Has(mechanism.RetryDeclined) }
+	return func(t *Tracker) { t.noRetryDeclined = s.Has(mechanism.RetryDeclined) }
 }
 
 // New returns the tracker of a request that at most maxInstances instances may receive.
@@ -93,7 +93,7 @@
 	if first {
 		t.instances++
 	}
-	if result == choice.Declined && !t.noReoffer {
+	if result == choice.Declined && !t.noRetryDeclined {
 		if t.declined == nil {
 			t.declined = map[string]bool{}
 		}
--- a/internal/decide/repeats/counts.go
+++ b/internal/decide/repeats/counts.go
@@ -7,7 +7,7 @@
 	bucketsPerWindow = 20
 	// bucketCount is the number of buckets kept: two windows.
 	bucketCount = 2 * bucketsPerWindow
-	// recentBuckets is the number of buckets that a current rate is computed from.
+	// recentBuckets is the number of buckets that the current rate of requests is computed from.
 	recentBuckets = 2
 )
 
@@ -16,16 +16,16 @@
 	buckets [bucketCount]float64
 	// newest is the number of the newest bucket, counted from the Unix epoch.
 	newest int64
-	// sums are the totals of the windows that end now, half a window ago and one window ago; rates are the totals of the most recent
-	// buckets of each.
-	sums, rates [3]float64
+	// sums are the totals of the windows that end now, half a window ago and one window ago; recent are the totals of the newest
+	// recentBuckets buckets of each.
+	sums, recent [3]float64
 }
 
 func (c *counts) add(now time.Time, window time.Duration, amount float64) {
 	c.advance(now, window)
 	c.buckets[c.newest%bucketCount] += amount
 	c.sums[0] += amount
-	c.rates[0] += amount
+	c.recent[0] += amount
 }
 
 // advance clears the buckets up to the current one and recomputes the totals.
@@ -40,7 +40,7 @@
 	c.newest = current
 	for i := range c.sums {
 		c.sums[i] = c.sum(int64(i)*bucketsPerWindow/2, bucketsPerWindow)
-		c.rates[i] = c.sum(int64(i)*bucketsPerWindow/2, recentBuckets)
+		c.recent[i] = c.sum(int64(i)*bucketsPerWindow/2, recentBuckets)
 	}
 }
 
--- a/internal/decide/repeats/repeats.go
+++ b/internal/decide/repeats/repeats.go
@@ -21,11 +21,12 @@
 
 const (
 	// pacedFraction is the fraction of Ratio that daemons spend at an even pace, and windowFraction the fraction that they spend
-	// within a window. The rest covers what no daemon sees: windows that begin between two of its own, and requests that move between daemons.
+	// within a window. The rest covers what no daemon sees: windows that begin between two of a daemon's own, and requests that move between
+	// daemons.
 	pacedFraction  = 0.65
 	windowFraction = 0.7
 	// startupFraction is the fraction of its budget that a daemon uses in the first window after its start: it doesn't know what it spent
-	// before, and after a restart of all daemons no other does.
+	// before, and after a restart of all daemons nor does any other.
 	startupFraction = 0.4
 	// burstFraction is the fraction of a window in which the remaining budget may be spent: most failures are shorter than a window.
 	burstFraction = 0.25
@@ -35,7 +36,7 @@
 
 // Budget is one daemon's share of the fleet's retry budget for each service.
 //
-// It protects services that fail or decline part of their requests. Each retry is one more arrival; if all daemons retried all
+// It protects services that fail or decline a fraction of their requests. Each retry is one more arrival; if all daemons retried all
 // failures, a service that lacks a tenth of the needed capacity would receive twice its load. A daemon earns retries with the requests
 // that it sends, so that the sum over all daemons stays within the budget without coordination, plus an equal share of the slack.
 //
@@ -57,7 +58,7 @@
 	requests, spent counts
 	tokens          float64
 	refilled        time.Time
-	// wanted is the number of retries requested since the last report, granted or not, and wantedRate the smoothed rate per second.
+	// wanted is the number of retries requested since the last report, allowed or not, and wantedRate the smoothed rate per second.
 	wanted, wantedRate float64
 	// transferred is the number of retries gained from other daemons, negative if given to them; transferRate is the current rate per
 	// second, valid for grantTTL after granted.
@@ -68,7 +69,7 @@
 	constrained bool
 }
 
-// New returns a budget whose accounts start with a part of this daemon's share of the slack.
+// New returns a budget whose accounts start with a fraction of this daemon's share of the slack.
 func New(limits Limits) *Budget {
 	return &Budget{limits: limits, daemons: 1, accounts: map[string]*account{}}
 }
@@ -94,9 +95,9 @@
 	b.account(service, now).requests.add(now, b.limits.Window, 1)
 }
 
-// Spend takes one retry to the service for a request of the priority, or reports that none is available to it.
+// Spend takes one retry to the service for a request of the priority, or returns false if none is available to it.
 //
-// While the fleet has fewer retries than it needs, part of the saved ones is reserved for higher priorities: until admissions
+// While the fleet has fewer retries than it needs, a fraction of the saved ones is reserved for higher priorities: until admissions
 // fall, the many low-priority requests would take nearly all of them.
 func (b *Budget) Spend(service string, priority call.Priority, now time.Time) bool {
 	b.mu.Lock()
@@ -121,15 +122,16 @@
 }
 
 const (
-	// reservePerPriority is the fraction of the capacity reserved from requests for each priority above theirs.
+	// reservePerPriority is the fraction of the capacity beyond unreservedRetries that requests must leave for each priority above theirs.
 	reservePerPriority = 0.45
-	// unreservedRetries is the part of the capacity that is never reserved: without it, a daemon that can save one or two retries
-	// would never let the lowest priority have any.
+	// unreservedRetries is the number of tokens that are never reserved: without it, a daemon that can save one or two retries would
+	// never allow the lowest priority a retry.
 	unreservedRetries = 3
 )
 
-// Charge counts a sub-call of a retried run. No daemon decided to retry it, but the service receives it once more all the same: a retried
-// lookup repeats its sub-calls and theirs. Without the charge, each service down the call path would add retries of its own.
+// Charge counts a sub-call of a retried run. No daemon decided to retry the sub-call itself, but the service receives it a second time: a
+// retried lookup makes its sub-calls again, and these make theirs. Without the charge, each service further down the call path would add
+// its own full budget of retries to these.
 func (b *Budget) Charge(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -221,8 +223,8 @@
 	if window <= 0 {
 		return 0
 	}
-	recent := window / bucketsPerWindow * recentBuckets
-	pace := b.usableFraction(a.refilled) * (pacedFraction*b.limits.Ratio*slices.Max(a.requests.rates[:])/recent + b.slack()/2/window)
+	recentSeconds := window / bucketsPerWindow * recentBuckets
+	pace := b.usableFraction(a.refilled) * (pacedFraction*b.limits.Ratio*slices.Max(a.requests.recent[:])/recentSeconds + b.slack()/2/window)
 	return max(pace, b.remaining(a)/(burstFraction*window))
 }
 
@@ -250,7 +252,7 @@
 // refilled ones can fall into the same window.
 func (b *Budget) slack() float64 { return slackFraction * b.limits.Slack / float64(b.daemons) }
 
-// capacity is the most tokens that the account can hold.
+// capacity is the maximum number of tokens that the account can hold.
 func (b *Budget) capacity(a *account) float64 {
 	rate := b.rate(a)
 	if a.refilled.Sub(a.granted) < grantTTL {
@@ -260,10 +262,10 @@
 }
 
 // capacityAt is the capacity at a refill rate.
-func (b *Budget) capacityAt(rate float64) float64 { return max(b.slack()+bucketSeconds*rate, 1) }
+func (b *Budget) capacityAt(rate float64) float64 { return max(b.slack()+capacitySeconds*rate, 1) }
 
-// bucketSeconds is the time for which refilled retries can be saved, in seconds.
-const bucketSeconds = 1
+// capacitySeconds is the number of seconds whose refilled tokens an account can hold.
+const capacitySeconds = 1
 
 // account returns the service's account, refilled up to now.
 func (b *Budget) account(service string, now time.Time) *account {
--- a/internal/decide/repeats/repeats_test.go
+++ b/internal/decide/repeats/repeats_test.go
@@ -122,7 +122,7 @@
 
 func TestGrantsFollowDemand(t *testing.T) {
 	// Guards against retries that stay unused at one daemon while requests of another fail without them, and
-	// against requests that need one retry each failing because others take ten.
+	// against failures of requests that need one retry each because others take ten.
 	Convey("The fleet's retries go to the daemons that want them, max-min fairly, without exceeding the total", t, func() {
 		for _, c := range []struct {
 			name    string
--- a/internal/decide/shed/shed.go
+++ b/internal/decide/shed/shed.go
@@ -48,15 +48,16 @@
 	// saturationWeight is the weight of one response, and maxElapsed bounds the time for which one response moves the fraction.
 	saturationWeight = 0.2
 	maxElapsed       = 500 * time.Millisecond
-	// planTTL is how long a plan takes precedence over feedback from responses: several heartbeat intervals.
+	// planTTL is how long a plan takes precedence over feedback from responses: several heartbeat intervals. After that, the daemon is in
+	// fallback mode.
 	planTTL = 1500 * time.Millisecond
-	// refusedSaturation is the least saturation assumed after a refused sub-call.
+	// refusedSaturation is the minimum saturation assumed after a refused sub-call.
 	refusedSaturation = 2.0
 	// minAdmitFraction is always admitted: it detects free capacity, and no class starves.
 	minAdmitFraction = 0.01
-	// reopenPerSecond is how fast the admitted fraction grows, per second without a response.
-	reopenPerSecond = 0.3
-	// Retry-After is retryAfterFraction of a route's latency target, plus a random part of up to retryAfterSpread of it: a response is still
+	// raisePerSecond is how fast the admitted fraction grows, per second without a response.
+	raisePerSecond = 0.3
+	// Retry-After is retryAfterFraction of a route's latency target, plus a random fraction of up to retryAfterSpread: a response is still
 	// useful then, and half of the target remains for the request itself.
 	retryAfterFraction = 0.15
 	retryAfterSpread   = 0.35
@@ -64,8 +65,8 @@
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 	defaultTarget = 2 * time.Second
-	// arrivalRateWeight is the weight of the latest interval in the reported rate: two intervals smooth out the randomness of several
-	// hundred milliseconds and still show a surge at once.
+	// arrivalRateWeight is the weight of the latest report interval in the reported rate: the rate smooths out the randomness of several
+	// hundred milliseconds and still shows a surge at once.
 	arrivalRateWeight = 0.6
 	// negligibleRate is a rate in requests per second that isn't worth reporting.
 	negligibleRate = 0.05
@@ -89,7 +90,7 @@
 // Option sets one property of a shedder.
 type Option func(*Shedder)
 
-// WithRand sets the random source, which returns numbers from 0 to 1.
+// WithRand sets the random source, which returns numbers in [0, 1).
 func WithRand(f func() float64) Option { return func(s *Shedder) { s.rand = f } }
 
 // Without disables mechanisms.
@@ -124,7 +125,7 @@
 	c := s.state(class, now)
 	c.arrivals++
 	if s.planExpired(now) {
-		c.reopen(now)
+		c.raiseUnanswered(now)
 	}
 	rejectFraction := 1 - c.admitFraction
 	decision := Decision{Admitted: s.rand() >= rejectFraction, RejectFraction: rejectFraction, Age: now.Sub(s.applied)}
@@ -215,10 +216,10 @@
 	c.setAdmitFraction(c.admitFraction * math.Pow(ratio, gainExponent*elapsed.Seconds()))
 }
 
-// reopen raises the admitted fraction while no response arrives, since all admitted requests may have been lost.
-func (c *classState) reopen(now time.Time) {
+// raiseUnanswered raises the admitted fraction while no response arrives, since all admitted requests may have been lost.
+func (c *classState) raiseUnanswered(now time.Time) {
 	if elapsed := now.Sub(c.updated); elapsed > maxElapsed {
-		c.setAdmitFraction(c.admitFraction + reopenPerSecond*(elapsed-maxElapsed).Seconds())
+		c.setAdmitFraction(c.admitFraction + raisePerSecond*(elapsed-maxElapsed).Seconds())
 		c.saturation *= 1 - min(elapsed.Seconds(), 1)
 		c.updated = now.Add(-maxElapsed)
 	}
--- a/internal/decide/shed/shed_test.go
+++ b/internal/decide/shed/shed_test.go
@@ -13,7 +13,7 @@
 	name      string
 	rank      Rank
 	perSecond float64
-	// slotSeconds is the slot time of that service that one request takes, without pauses.
+	// slotSeconds is how long one request occupies a slot of that service in total.
 	slotSeconds float64
 }
 
