--- a/internal/decide/admission/gate.go
+++ b/internal/decide/admission/gate.go
@@ -12,8 +12,9 @@
 
 // Gate is the concurrency limit and the queue of one upstream.
 //
-// Designed for an upstream that is offered more than it can run for longer than a burst. Without a gate, requests queue until their
-// callers have given up, the upstream runs them for nobody, and the callers' retries keep it overloaded after the cause has passed.
+// Designed for an upstream whose offered load exceeds its capacity for longer than a burst. Without a gate, requests queue until their
+// callers have given up, the upstream runs requests that nobody waits for, and the callers' retries keep it overloaded after
+// the cause has passed.
 type Gate struct {
 	mu         sync.Mutex
 	limit      limit.Learner
@@ -56,7 +57,7 @@
 // WithLength sets the maximum number of waiting requests.
 func WithLength(requests int) Option { return func(g *Gate) { g.maxLength = requests } }
 
-// WithRand sets the random source of the Retry-After jitter, numbers from 0 up to below 1.
+// WithRand sets the random source of the Retry-After jitter, which returns numbers in [0, 1).
 func WithRand(random func() float64) Option {
 	return func(g *Gate) { g.retryAfter = comeback.New(comeback.WithRand(random)) }
 }
@@ -79,7 +80,7 @@
 	return g
 }
 
-// Arrive decides on a new request: it runs now, waits, or is refused for good at this gate.
+// Arrive decides on a new request: it runs now, waits or is refused.
 func (g *Gate) Arrive(now time.Time, t *Ticket) Decision {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/decide/admission/latency.go
+++ b/internal/decide/admission/latency.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// holdTime is the smoothed hold time of one operation.
+// holdTimes holds the smoothed hold time of each operation and the smoothed mean over all requests.
 type holdTimes struct {
 	byOperation map[string]*holdTime
 	meanSeconds float64
 }
 
+// holdTime is the smoothed hold time of one operation.
 type holdTime struct {
 	seconds    float64
 	observedAt time.Time
@@ -19,7 +20,8 @@
 const (
 	// holdTimeWeight is the weight of one run in the smoothed hold time.
 	holdTimeWeight = 0.1
-	// decayDelay and decayHalfLife bound how long an unconfirmed estimate counts, so that a request is admitted well within 2 s.
+	// decayDelay and decayHalfLife set how fast an estimate decays without new runs: an operation that is refused because of its estimate
+	// has none, and must be admitted again well within 2 s.
 	decayDelay    = 100 * time.Millisecond
 	decayHalfLife = 200 * time.Millisecond
 )
--- a/internal/decide/allot/planner_test.go
+++ b/internal/decide/allot/planner_test.go
@@ -13,7 +13,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/graph"
 )
 
-// host is the host of the only instance that sends heartbeats.
+// host is the host of the instance whose hold times the tests record.
 var host = netip.MustParseAddr("10.0.0.1")
 
 // sameNamedService sends each route to the service of the same name.
@@ -133,8 +133,8 @@
 	})
 }
 
-// TestInstanceChanges guards against plans based on instances that are gone: the slower ones that remain were filled up to four times
-// their slots, or the faster ones were partly idle.
+// TestInstanceChanges guards against plans that are still based on removed instances: slower ones that remain receive up to four times
+// the requests that their slots can serve, or faster ones are partly idle.
 func TestInstanceChanges(t *testing.T) {
 	call := shed.Class{Route: "call", Service: "call"}
 	slow, fast := Instance{host, 10}, Instance{netip.MustParseAddr("10.0.0.2"), 10}
--- a/internal/decide/allot/shortage.go
+++ b/internal/decide/allot/shortage.go
@@ -10,7 +10,7 @@
 // Shortage is a service that can't serve all of its demand, with the inputs and the result of the last plan.
 type Shortage struct {
 	Service string `json:"service"`
-	// Resource names the exhausted resource, slots or repeats. For repeats, the slot fields are in retries per second.
+	// Resource names the exhausted resource, slots or repeats. For repeats, Slots, Requested and Allocated are in retries per second.
 	Resource   string  `json:"of"`
 	Slots      float64 `json:"slots"`
 	Saturation float64 `json:"fullness"`
@@ -36,7 +36,7 @@
 	return all
 }
 
-// recordPlan records what the plan allocates, for the next correction.
+// recordPlan records what the plan allocates, for the next correction and for Shortages.
 func (p *Planner) recordPlan(classes []classNeeds, fractions map[shed.Class]float64, capacity map[resource]float64) {
 	allocated, requested := map[resource]float64{}, map[resource]float64{}
 	for _, c := range classes {
--- a/internal/decide/budget/account.go
+++ b/internal/decide/budget/account.go
@@ -19,7 +19,7 @@
 	changed chan struct{}
 }
 
-// spareNumerator over spareDenominator is the fraction of its proportional part of the spare runs that one draw may take beyond its
+// spareNumerator over spareDenominator is the fraction of its proportional share of the spare runs that one draw may take beyond its
 // need, for retries below it. The rest is left for its own retry, since the runs that it takes are lost with its response.
 const (
 	spareNumerator   = 3
@@ -43,11 +43,11 @@
 	return a.left
 }
 
-// Draw takes runs for one attempt that is likely to need so many, including its own run; Settle must follow. A channel instead of runs
-// means that other attempts hold the missing runs: it is closed when some may have been returned. Neither runs nor a channel means that
-// the account is spent.
+// Draw takes runs for one attempt; need is the number that it is likely to use, including its own run. Settle must follow. A channel
+// instead of runs means that other attempts hold the missing runs: it is closed when some may have been returned. Neither runs nor a
+// channel means that the account is spent or closed.
 //
-// A first sub-call that took everything would starve concurrent ones, and equal parts would starve a deep chain, where one sub-call needs
+// A first sub-call that took everything would starve concurrent ones, and equal shares would starve a deep chain, where one sub-call needs
 // all that is left. So a draw takes its need, and up to as much again for retries if there are spare runs. One that finds too little
 // waits for the concurrent attempts to return the runs that they don't use: a sub-call sent with too few fails deep in the chain, after
 // the work above it was done.
@@ -71,7 +71,7 @@
 	return runs, nil
 }
 
-// spareFor returns the runs that an attempt takes for retries below it: its proportional part of the spare runs, by its need relative to
+// spareFor returns the runs that an attempt takes for retries below it: its proportional share of the spare runs, by its need relative to
 // the expected need.
 //
 // With too few, a lost response deep in the chain fails the attempt, and the work of concurrent sub-calls is repeated when the whole
@@ -99,7 +99,7 @@
 
 // Close closes the account and returns the runs that are left.
 //
-// An upstream may respond while its own sub-calls are still being retried. The runs that are left then go back with the response, and a
+// An upstream may respond while its own sub-calls are still being retried. The runs that are left are then returned with the response, and a
 // retry that could still draw from the account would spend the same runs twice.
 func (a *Account) Close() int {
 	a.mu.Lock()
--- a/internal/decide/budget/chain_test.go
+++ b/internal/decide/budget/chain_test.go
@@ -11,7 +11,8 @@
 
 const maxAttempts = 3
 
-// callGraph is a request's call graph: the same shape and faults with the budget and with retries per hop.
+// callGraph is a random call graph with faults. Its shape and faults depend only on its fields and are the same with a budget and with
+// retries per hop.
 type callGraph struct {
 	seed   uint64
 	depth  int
@@ -136,7 +137,7 @@
 			exceeded++
 		}
 	})
-	t.Logf("with three attempts per hop, %d of %d trials ran more often than the budget", exceeded, trials)
+	t.Logf("with three attempts per hop, %d of %d trials exceeded the budget", exceeded, trials)
 	if exceeded == 0 {
 		t.Fatal("the naive model never exceeded the budget, so the trials show nothing")
 	}
--- a/internal/decide/comeback/places.go
+++ b/internal/decide/comeback/places.go
@@ -27,7 +27,7 @@
 // Option sets one property of a schedule.
 type Option func(*Schedule)
 
-// WithRand sets the random source of the jitter, which returns numbers from 0 to 1.
+// WithRand sets the random source of the jitter, which returns numbers in [0, 1).
 func WithRand(f func() float64) Option { return func(s *Schedule) { s.rand = f } }
 
 // New returns a schedule whose slots are all free.
@@ -39,8 +39,8 @@
 	return s
 }
 
-// Next returns the delay after which the refused request should be admitted, given the time until the first free capacity and the
-// interval between two served requests.
+// Next returns the Retry-After delay of a refused request, given the time until the first free capacity and the interval between two
+// served requests. A request whose slot is later than MaxDelay gets a random delay between half of MaxDelay and all of it.
 func (s *Schedule) Next(now time.Time, first, interval time.Duration) time.Duration {
 	if earliest := now.Add(first); s.next.Before(earliest) {
 		s.next = earliest
--- a/internal/decide/comeback/places_test.go
+++ b/internal/decide/comeback/places_test.go
@@ -20,7 +20,7 @@
 		{"a single request is delayed until the first free capacity", 1, 100 * ms, 50 * ms, 100 * ms},
 		{"the tenth request is delayed by nine intervals more", 10, 100 * ms, 50 * ms, 550 * ms},
 		{"no delay is shorter than MinDelay", 1, 0, ms, 20 * ms},
-		{"a request beyond the last slot is delayed by a random time up to MaxDelay", 1000, 100 * ms, 50 * ms, 1500 * ms},
+		{"a request whose slot is later than MaxDelay is delayed by a random time between half of MaxDelay and all of it", 1000, 100 * ms, 50 * ms, 1500 * ms},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
--- a/internal/decide/limit/gradient.go
+++ b/internal/decide/limit/gradient.go
@@ -7,7 +7,7 @@
 
 // GradientLearner sets the limit by how much latency exceeds its low-load baseline.
 //
-// Designed for an upstream that queues inside once its slots are in use: more concurrent requests then only wait there, unseen, without
+// Designed for an upstream that queues inside once its slots are in use: more concurrent requests then only wait inside it, without
 // fairness and past their deadlines. The limit falls until latency is near its baseline again, so that requests wait in the daemon's
 // queue instead.
 type GradientLearner struct {
--- a/internal/decide/limit/kind.go
+++ b/internal/decide/limit/kind.go
@@ -14,7 +14,7 @@
 const (
 	// Gradient compares latency with the low-load baseline of each operation.
 	Gradient Kind = iota // gradient
-	// AIMD adds one while there is no sign of overload and lowers the limit by a tenth after one.
+	// AIMD raises the limit by one after a busy window and lowers it by a tenth after a window with signs of overload.
 	AIMD // aimd
 	// Fixed never changes the limit.
 	Fixed // fixed
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// model is an upstream with a number of slots that queues inside beyond them; it is kept busy at the limit.
+// model is an upstream with a number of slots, which queues or sheds the runs beyond them; it always has as many runs as the limit allows.
 type model struct {
 	slots int
 	sheds bool
@@ -59,10 +59,10 @@
 		minLowest, maxLast int
 	}{
 		{"enough slots: the ceiling is reached", model{slots: 64, sample: steady(5 * time.Millisecond)}, 60, 64},
-		{"queueing inside lowers the limit", model{slots: 20, sample: steady(5 * time.Millisecond)}, 14, 40},
+		{"queueing inside the upstream lowers the limit", model{slots: 20, sample: steady(5 * time.Millisecond)}, 14, 40},
 		{"shedding lowers the limit", model{slots: 20, sheds: true, sample: steady(5 * time.Millisecond)}, 14, 22},
 		{"a mix of long and short runs doesn't collapse the limit", model{slots: 64, sample: mixed}, 55, 64},
-		{"queueing inside lowers the limit when latencies vary widely", model{slots: 20, sample: exponential}, 10, 50},
+		{"queueing inside the upstream lowers the limit when latencies vary widely", model{slots: 20, sample: exponential}, 10, 50},
 		{"latencies that vary widely don't collapse the limit", model{slots: 64, sample: exponential}, 40, 64},
 	}
 	for _, c := range cases {
@@ -99,7 +99,7 @@
 // Guards against a limit that stays low after a release makes every run of an upstream five times as slow at any load: the service
 // would never again run more than a few requests at once although it could.
 func TestSlowerReleaseIsAccepted(t *testing.T) {
-	Convey("The limit recovers once lowering it has not lowered latency", t, func() {
+	Convey("The limit recovers if lowering it hasn't lowered the latency", t, func() {
 		l := NewGradient(64)
 		m := model{slots: 64, sample: steady(5 * time.Millisecond)}
 		_, last, now := m.drive(l, time.Unix(0, 0), 10*time.Second)
@@ -110,7 +110,7 @@
 	})
 }
 
-// Guards against a service that runs one request at a time: an upstream can shed for reasons other than load, such as a failing check.
+// Guards against a limit that falls to one request at a time: an upstream can shed for reasons other than load, such as a failing check.
 func TestShedsKeepTheFloor(t *testing.T) {
 	Convey("Sheds alone take the limit no lower than its floor", t, func() {
 		l, now := NewGradient(64), time.Unix(0, 0)
--- a/internal/decide/lineage/runs.go
+++ b/internal/decide/lineage/runs.go
@@ -66,8 +66,8 @@
 
 // Runs holds the active runs of the local instance, ordered by deadline.
 //
-// An instance doesn't name the parent in its sub-calls, but a sub-call ends when its parent does: its remaining time points at the run
-// with the same deadline. A sub-call with a shorter timeout of its own is attributed to a run of one of the routes that make such
+// An instance doesn't name the parent in its sub-calls, but a sub-call usually has the deadline of its parent, and is attributed to the
+// run with the same deadline. A sub-call with a shorter timeout of its own is attributed to a run of one of the routes that make such
 // sub-calls, which is learned from those whose parent is certain. Without this, a sub-call for a payment waits behind one for a
 // lookup, and a lookup that must fail at a saturated service deep in the chain is admitted at the ingress all the same.
 type Runs struct {
@@ -107,7 +107,7 @@
 // Option configures a Runs.
 type Option func(*Runs)
 
-// WithRand sets the random source, numbers from 0 up to below 1.
+// WithRand sets the random source, which returns numbers in [0, 1).
 func WithRand(random func() float64) Option { return func(r *Runs) { r.rand = random } }
 
 // New returns a Runs without active runs.
--- a/internal/decide/lineage/runs_test.go
+++ b/internal/decide/lineage/runs_test.go
@@ -39,7 +39,7 @@
 	// Guards against attributing sub-calls to runs that don't make them. Uploads and range reads run on the same instance, and only reads
 	// make sub-calls, with shorter timeouts than their parents have, so that no deadline matches. Attributed to uploads, they would make
 	// the ingress reject uploads when the service that only reads use is saturated.
-	Convey("They are attributed to runs of the routes that make them", t, func() {
+	Convey("Sub-calls without a matching deadline are attributed to runs of the routes that make them", t, func() {
 		r := New()
 		rng := rand.New(rand.NewPCG(1, 2))
 		r.rand = rng.Float64
@@ -119,7 +119,7 @@
 		So(r.CausedByCall(other, start.Add(time.Millisecond)), ShouldBeTrue)
 		So(r.CausedByCall(one, start.Add(time.Millisecond)), ShouldBeFalse)
 	})
-	Convey("The run that it was attributed to takes precedence", t, func() {
+	Convey("The run that a failed sub-call was attributed to takes precedence", t, func() {
 		r := newRuns()
 		one, other := begin(r, "read"), begin(r, "read")
 		r.CallFailed(other, "leg", start)
@@ -128,7 +128,7 @@
 		So(r.CausedByCall(other, start), ShouldBeTrue)
 	})
 	// Guards against an instance whose own failures are hidden by those of its sub-calls.
-	Convey("It accounts for no failure of a route that makes no such sub-calls, and for none later on", t, func() {
+	Convey("A failed sub-call accounts for no failure of a route that makes no such sub-calls, and for none later on", t, func() {
 		r := newRuns()
 		read, upload := begin(r, "read"), begin(r, "upload")
 		r.CallFailed(read, "leg", start)
--- a/internal/decide/mechanism/mechanism.go
+++ b/internal/decide/mechanism/mechanism.go
@@ -24,7 +24,7 @@
 	LentRetries // lentRepeats
 	// RetryDeclined retries requests at instances that declined them.
 	RetryDeclined // offersAgain
-	// CallFailures keeps requests from being retried whose failure was caused by a failed sub-call.
+	// CallFailures prevents retries of requests whose failure was caused by a failed sub-call.
 	CallFailures // callFailures
 	// RankedSubcalls queues sub-calls by the rank of the caller's request; without it, all sub-calls have priority over other requests.
 	RankedSubcalls // rankedCalls
--- a/internal/decide/pressure/doors.go
+++ b/internal/decide/pressure/doors.go
@@ -8,7 +8,7 @@
 
 // Throttles rejects requests at the ingress that would fail for overload deeper in the call chain, before other services work on them.
 //
-// Designed for a slow service deep in the chain whose callers retry hard. Each request would run at every service above it and then be
+// Designed for a slow service deep in the chain whose callers retry often. Each request would run at every service above it and then be
 // refused at the last, so that most of the fleet's work is wasted; and the services above, busy with it, refuse requests that could
 // succeed. Only the responses to an organisation's own requests count, not the load that hosts report: a wrong report can't cause
 // rejections, and the refusals of one organisation's requests don't throttle another.
@@ -27,7 +27,7 @@
 // Option configures a Throttles.
 type Option func(*Throttles)
 
-// WithRand sets the random source, numbers from 0 up to below 1.
+// WithRand sets the random source, which returns numbers in [0, 1).
 func WithRand(random func() float64) Option { return func(ts *Throttles) { ts.rand = random } }
 
 // maxThrottles bounds the throttles that are kept; a refusal adds one, and it is removed after recovery.
--- a/internal/decide/pressure/doors_test.go
+++ b/internal/decide/pressure/doors_test.go
@@ -51,7 +51,7 @@
 		So(admitted, ShouldEqual, 1)
 		So(throttles.Len(), ShouldEqual, 0)
 	})
-	Convey("Requests that would fail deep in the chain are rejected at the ingress, but for a few probes", t, func() {
+	Convey("Requests that would fail deep in the chain are rejected at the ingress, except for a few probes", t, func() {
 		throttles := New(WithRand(random.Float64))
 		drive(throttles, start, time.Second, none)
 		admitted, _ := drive(throttles, start.Add(time.Second), 5*time.Second, none)
@@ -105,7 +105,7 @@
 
 // Guards against rejecting requests to an idle service. A caller sends a batch of exports at once, more than the queue holds, and the
 // rest is refused; the service works off what it accepted. A throttle that still counts those refusals, or takes pending requests for
-// failures, would reject part of the next batch, as often as one comes after a pause.
+// failures, would reject part of the next batch each time that one follows a pause.
 func TestBurstAfterFlood(t *testing.T) {
 	cases := []struct {
 		name string
@@ -114,14 +114,14 @@
 		pause         time.Duration
 		burst         int
 	}{
-		{"at once", 60, 12, 0, 8},
+		{"immediately after a flood", 60, 12, 0, 8},
 		{"a little later", 60, 12, 150 * ms, 8},
 		{"after the counts have decayed", 60, 12, 800 * ms, 8},
 		{"long after", 60, 12, time.Minute, 8},
-		{"far more at once", 60, 12, 800 * ms, 500},
-		{"where nothing succeeded", 60, 0, time.Second, 8},
-		{"of a rare caller", 5, 0, time.Second, 8},
-		{"of a large flood", 2000, 20, 0, 8},
+		{"even if it is far larger", 60, 12, 800 * ms, 500},
+		{"after a flood without successes", 60, 0, time.Second, 8},
+		{"after a few requests of a rare caller", 5, 0, time.Second, 8},
+		{"immediately after a large flood", 2000, 20, 0, 8},
 	}
 	for _, c := range cases {
 		Convey("The next burst is admitted, "+c.name, t, func() {
--- a/internal/decide/pressure/throttle.go
+++ b/internal/decide/pressure/throttle.go
@@ -24,11 +24,11 @@
 
 const (
 	// successMultiplier is the ratio of admitted requests to recent successes. It bounds the work that may fail deep in the chain during
-	// overload, and detects its end: the successes then double every half-life. With a lower value, failures that don't depend on the
-	// load, two in five of them, would cause rejections for good.
+	// overload, and detects its end: the successes then double every half-life. With a lower value, failures of two in
+	// five requests that don't depend on the load would cause lasting rejections.
 	successMultiplier = 2
 	// minHalfLife and maxHalfLife bound the half-life of the counts. A long one causes rejections after the overload has ended; a short one
-	// drops rare requests before they add up to anything.
+	// forgets rare requests before they add up.
 	minHalfLife = 120 * time.Millisecond
 	maxHalfLife = time.Second
 	// halfLifeRequests is the number of requests that one half-life covers, within these bounds.
@@ -78,7 +78,7 @@
 	minRequestRatio = 0.5
 )
 
-// recordResponse records the result of an admitted request; failed is the part of it that failed, 0 to 1.
+// recordResponse records the result of an admitted request; failed is the fraction of it that counts as failed, 0 to 1.
 func (t *throttle) recordResponse(now time.Time, failed float64) {
 	t.pending = max(0, t.pending-1)
 	t.failed += failed
--- a/internal/decide/queue/fair.go
+++ b/internal/decide/queue/fair.go
@@ -5,16 +5,16 @@
 // FairQueue serves the highest priority first and, within a priority, the organisations by weight.
 //
 // Designed for a fleet where one organisation exceeds its rate several times over, or sends files while others look up vehicles. In
-// order of arrival the others would wait behind it and be affected by its overload. The cost of each operation is the same for eight
-// organisations and for ten thousand.
+// order of arrival the others would wait behind it and be affected by its overload. An operation on the queue takes at most
+// logarithmic time in the number of organisations, which may be ten thousand.
 type FairQueue[T any] struct {
 	classes [call.Priorities]class[T]
 	length  int
 	pops    uint
 }
 
-// lowerPriorityInterval makes every 32nd item served one of a lower priority: at full load of higher-priority requests, one slot in 32
-// goes to the others so that none starves, which costs the higher-priority requests 3% of the slots.
+// lowerPriorityInterval is the interval in items at which one of a lower priority is served: at full load of higher-priority requests,
+// one slot in 32 goes to the others so that none starves, which costs the higher-priority requests 3% of the slots.
 const lowerPriorityInterval = 32
 
 // NewFair returns an empty fair queue.
@@ -75,7 +75,7 @@
 	return call.Background
 }
 
-// lowerPriority alternates between the two lower priorities, so that neither starves the other.
+// lowerPriority alternates between Standard and the lowest priority with items, so that neither starves the other.
 func (q *FairQueue[T]) lowerPriority() call.Priority {
 	if q.pops/lowerPriorityInterval%2 == 0 && q.classes[call.Standard].length > 0 {
 		return call.Standard
--- a/internal/decide/queue/fair_test.go
+++ b/internal/decide/queue/fair_test.go
@@ -152,8 +152,8 @@
 	})
 }
 
-// Guards against an unfair share for an organisation that always has just one request waiting, beside one with a long queue: if its
-// virtual time started anew with each request, it would be served every other time, and those with longer queues would get less than
+// Guards against an unfair share for an organisation that always has just one request waiting, next to one with a long queue: if its
+// virtual time were reset with each request, it would be served every other time, and those with longer queues would get less than
 // their share.
 func TestSingleRequestsGetNoMoreThanTheirShare(t *testing.T) {
 	Convey("A flow that runs out of items keeps its virtual time", t, func() {
--- a/internal/decide/quota/pool.go
+++ b/internal/decide/quota/pool.go
@@ -28,8 +28,9 @@
 
 // bucket is an organisation's token bucket over all daemons.
 type bucket struct {
-	// level is negative while more requests were admitted than the collector knew of.
-	level   float64
+	// level is the number of tokens, negative after daemons have admitted more requests than the rate allows.
+	level float64
+	// demand is the smoothed rate of requests at all daemons, per second.
 	demand  float64
 	updated time.Time
 }
@@ -49,8 +50,8 @@
 // report is the latest report of one reporter.
 type report struct {
 	counts map[string]Count
-	// fromStart means that the reporter has sent reports since it began to count, so that counts of an organisation named for the first
-	// time start at zero.
+	// fromStart means that the reporter has sent reports since it began to count, so that all requests in its first count of an
+	// organisation are new.
 	fromStart bool
 	received  time.Time
 }
@@ -78,7 +79,7 @@
 	reporterTTL = time.Second
 	// newUptime is the uptime up to which all of a daemon's first counts are recent.
 	newUptime = 2 * time.Second
-	// sweepInterval is the interval at which silent reporters and idle organisations are removed.
+	// sweepInterval is the interval at which expired reports and idle organisations are removed.
 	sweepInterval = time.Second
 	// negligibleDemand is a demand in requests per second that isn't worth keeping.
 	negligibleDemand = 0.01
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -37,7 +37,7 @@
 	// demandShare is this daemon's share of the fleet's demand, and tokens the requests it may admit by that share in fallback mode.
 	demandShare float64
 	tokens      float64
-	// spendThreshold is the fraction of a token from which on one may be spent.
+	// spendThreshold is the number of tokens, 0 to 1, from which on a request is admitted in fallback mode; tokens may become negative.
 	spendThreshold float64
 	refilled       time.Time
 }
@@ -45,14 +45,14 @@
 const (
 	// localDemandTimeConstant smooths a daemon's own demand, which may be less than a request per second.
 	localDemandTimeConstant = time.Second
-	// allocationTTL is how long allocations are valid: several heartbeat intervals.
+	// allocationTTL is how long allocations are valid: several heartbeat intervals. A daemon without valid ones is in fallback mode.
 	allocationTTL = 2 * time.Second
 	// idleTTL is how long an organisation is reported after its last request.
 	idleTTL = 3 * time.Second
 	// demandShareWeight is the fraction of a rate that is divided by shares of the demand in fallback mode. The rest is divided equally, for
 	// clients that move here from an unreachable daemon.
 	demandShareWeight = 0.9
-	// At least surgeRequests plus surgeFactor times the baseline since the last report is a surge, which is reported early.
+	// Requests since the last report are a surge if there are at least surgeRequests plus surgeFactor times the baseline.
 	surgeRequests = 4
 	surgeFactor   = 3
 	// baselineWeight is the weight of the latest report interval in the baseline.
@@ -64,7 +64,7 @@
 // Option sets one property of a quota.
 type Option func(*Quota)
 
-// WithRand sets the random source, which returns numbers from 0 to 1.
+// WithRand sets the random source, which returns numbers in [0, 1).
 func WithRand(f func() float64) Option { return func(q *Quota) { q.rand = f } }
 
 // New returns a quota without rate limits, which admits all requests.
@@ -133,7 +133,8 @@
 	Surge bool
 	// RetryAfter is when the rate is expected to allow another request.
 	RetryAfter time.Duration
-	// AdmitFraction is the fraction that is admitted, and Demand the fleet's demand (this daemon's in fallback mode), in requests per second.
+	// AdmitFraction is the fraction that is admitted, and Demand the fleet's demand in requests per second. In fallback mode, they are this
+	// daemon's share of the rate and its own demand.
 	AdmitFraction float64
 	Demand        float64
 	Rate          float64
@@ -214,7 +215,7 @@
 	d.RetryAfter = refillTime(m.spendThreshold-m.tokens, r.PerSecond*share)
 }
 
-// refillTime is how long the tokens take at a rate per second.
+// refillTime is how long it takes to refill the tokens at a rate per second, at most maxRetryAfter.
 func refillTime(tokens, perSecond float64) time.Duration {
 	seconds := tokens / max(perSecond, minDemand)
 	return time.Duration(min(max(seconds, 0), maxRetryAfter.Seconds()) * float64(time.Second))
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -19,7 +19,7 @@
 		})
 	})
 	// Guards against refusing more than the excess.
-	Convey("It still gets its rate", t, func() {
+	Convey("An organisation that sends many times its rate still gets its rate", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(8*time.Second, 1)
 			f.admitted = nil
@@ -195,7 +195,7 @@
 }
 
 func TestRefund(t *testing.T) {
-	// Guards against requests refused by a full service using up the rate.
+	// Guards against an organisation's rate being used up by requests that a full service refused.
 	Convey("A request that did not run isn't counted as admitted", t, func() {
 		f := newFleet(1, 1, Rate{PerSecond: 10, Burst: 10}, 1)
 		d := f.daemons[0]
--- a/internal/decide/split/split.go
+++ b/internal/decide/split/split.go
@@ -26,7 +26,7 @@
 	deficits []float64
 }
 
-// New returns a splitter. initialFraction returns numbers from 0 to 1 that set the initial deficits, so that daemons start with
+// New returns a splitter. initialFraction returns numbers in [0, 1) that set the initial deficits, so that daemons start with
 // different parts.
 func New(initialFraction func() float64) *Splitter {
 	return &Splitter{initialFraction: initialFraction, routes: map[string]*routeState{}}
