--- a/internal/decide/placing/placer.go
+++ b/internal/decide/placing/placer.go
@@ -115,13 +115,13 @@
 	}
 }
 
-// pickByRegion returns a host of the daemon's own region, or one of another region with the probability that requests in it recently went
-// unserved.
+// pickByRegion returns a host of the daemon's own region, or one of another region; the probability of the latter is the fraction of
+// requests that the host chosen in the own region recently left unserved.
 //
 // Designed for a service in several regions, tens of milliseconds apart. This daemon doesn't see the load that other daemons put on a
-// host in another region, so by its score the host looks idle: a busy day in the daemon's own region would send a fifth of the requests across
-// an ocean, each taking many times as long as the work itself. Refusals are known for certain, and the fraction that is sent to other
-// regions grows and decays with them, so that regions neither oscillate nor fail alone.
+// host in another region, so by its score the host looks idle: a busy day in the daemon's own region would send a fifth of the requests
+// across an ocean, each taking many times as long as the work itself. Refusals are known for certain, and the fraction that is sent to
+// other regions grows and decays with them, so that regions neither oscillate nor fail alone.
 func (p *Placer) pickByRegion(now time.Time, g *group, tried []string) *member {
 	same := p.pickInRegion(now, g, tried)
 	if len(g.otherRegions) == 0 || same != nil && p.randFraction() >= same.unservedFraction(now) {
