--- a/internal/app/settings/binder.go
+++ b/internal/app/settings/binder.go
@@ -14,7 +14,7 @@
 // binder defines flags with text values and converts them all after parsing, so that every fault is reported at once.
 type binder struct {
 	fs *flag.FlagSet
-	// resolvers convert and check the parsed text of each flag; checks only check the setting's present value.
+	// resolvers convert and check the parsed text of each flag; checks only check the setting's current value.
 	resolvers []func()
 	checks    []func()
 	problems  Problems
--- a/internal/app/settings/guards.go
+++ b/internal/app/settings/guards.go
@@ -25,7 +25,7 @@
 	HeaderTime  time.Duration
 }
 
-// minSecretLength is the minimum number of characters of a secret: few enough to type, and too many to guess.
+// minSecretLength is the minimum length of a secret in bytes: short enough to type, and too long to guess.
 const minSecretLength = 16
 
 func (g *Guards) bind(b *binder) {
--- a/internal/app/settings/settings.go
+++ b/internal/app/settings/settings.go
@@ -55,7 +55,7 @@
 	IsolationTime  time.Duration
 	LogLevel       logrus.Level
 
-	// Advertise is the address of Peers as the hosts list has it.
+	// Advertise is the address under which the hosts list names this daemon; peers connect to it. By default it is Peers.
 	Advertise netip.AddrPort
 	Fence     time.Duration
 	Loan      time.Duration
@@ -111,7 +111,7 @@
 	b := &binder{fs: flag.NewFlagSet("foxtailhook", flag.ContinueOnError)}
 	var checked Settings
 	checked.bind(b)
-	checked = *s // binding wrote the defaults; check the assigned values instead.
+	checked = *s // bind wrote the defaults; the bounds are checked on the assigned values.
 	b.checkBounds()
 	checked.check(b)
 	if len(b.problems) > 0 {
@@ -178,7 +178,7 @@
 	}
 }
 
-// Limits returns the times and sizes that the fleet's rate limiting is based on: the defaults with the fence, loan time and shards set here.
+// Limits returns the times and sizes for the fleet's rate limiting: the defaults, with Fence, Loan and Shards from the settings.
 func (s *Settings) Limits() rate.Limits {
 	l := rate.DefaultLimits()
 	l.Fence, l.Loan, l.Shards = s.Fence, s.Loan, s.Shards
--- a/internal/app/telemetry/bench_test.go
+++ b/internal/app/telemetry/bench_test.go
@@ -25,7 +25,7 @@
 	return f
 }
 
-// BenchmarkDecisionLine measures what logging one decision costs a request.
+// BenchmarkDecisionLine measures the cost of logging one decision, directly and through Buffered.
 func BenchmarkDecisionLine(b *testing.B) {
 	b.Run("direct", func(b *testing.B) {
 		log := NewLog(openLog(b), logrus.InfoLevel)
@@ -67,7 +67,7 @@
 	})
 }
 
-// BenchmarkAnswerMetrics measures what counting one response costs.
+// BenchmarkAnswerMetrics measures the cost of counting one response, with a scope that is tagged each time or kept.
 func BenchmarkAnswerMetrics(b *testing.B) {
 	m := NewMetrics("lookup-1", "a")
 	defer m.Close()
--- a/internal/app/telemetry/log.go
+++ b/internal/app/telemetry/log.go
@@ -6,7 +6,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// NewLog returns a logger that writes one JSON object a line.
+// NewLog returns a logger that writes one JSON object per line.
 func NewLog(out io.Writer, level logrus.Level) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(out)
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -11,8 +11,8 @@
 	wire "github.com/foxtailhook/foxtailhook/internal/wire/platform"
 )
 
-// Handler returns the stand-in's HTTP interface: reads and watches for daemons,
-// and publishing and fault modes for the operators of a demo or test.
+// Handler returns the stand-in's HTTP interface: daemons read and watch lists,
+// and the operators of a demo or test publish values and set the mode.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/lists/{list}", s.serveRead)
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -15,7 +15,7 @@
 const (
 	// Up serves the newest values.
 	Up Mode = iota // up
-	// Down answers every read with 503.
+	// Down responds to every read with 503.
 	Down // down
 	// Stale serves the values that were the newest when the mode was set.
 	Stale // stale
@@ -66,7 +66,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Read returns the served value, the mode, and a channel that is closed at the next change; Reads counts the call if count is set.
+// Read returns the served value, the mode, and a channel that is closed at the next change; Reads counts this read if count is set.
 func (s *Store) Read(kind lists.Kind, count bool) (lists.Value, Mode, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 	return s.served[kind], s.mode, s.changed
 }
 
-// Reads returns the number of calls so far; a watch counts once, however often it wakes.
+// Reads returns the number of reads so far; a watch counts once, however often it wakes.
 func (s *Store) Reads() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -22,7 +22,7 @@
 	Service string
 	Slots   int
 	Latency time.Duration
-	// Daemon is where sub-calls go.
+	// Daemon is the address of the daemon to which sub-calls are sent.
 	Daemon netip.AddrPort
 	// Next is the path of the sub-call that each request makes through the daemon, such as /repairs/notes; empty for none.
 	Next string
@@ -30,7 +30,7 @@
 	Countdown bool
 	// Retries is how often a failed sub-call is retried, at once and without a budget, as an application's own retry loop would.
 	Retries int
-	// Lossy closes the connection instead of responding.
+	// Lossy runs each request and then closes the connection instead of responding.
 	Lossy bool
 	// Trace keeps a record of each run, for the whole life of the stand-in.
 	Trace bool
@@ -148,7 +148,7 @@
 	_, _ = w.Write(raw)
 }
 
-// waitLatency waits while the run is held and then for the configured latency; it returns false if the caller has left.
+// waitLatency waits while the run is held and then for the configured latency; it returns false if the caller cancels the request.
 func (u *Upstream) waitLatency(ctx context.Context, body string) bool {
 	select {
 	case <-u.releaseOf(body):
@@ -262,7 +262,7 @@
 	fmt.Fprintln(w, ms)
 }
 
-// serveHold holds runs from now on; if a body is given, only those with that body.
+// serveHold holds later runs until serveRelease; if a body is given, only those with that body.
 func (u *Upstream) serveHold(w http.ResponseWriter, r *http.Request) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
