--- a/cmd/foxtailbench/main.go
+++ b/cmd/foxtailbench/main.go
@@ -30,13 +30,13 @@
 
 // options are the values of the flags.
 type options struct {
-	compare, limit, queue, placing string
-	loads, causes, deployments     string
-	seed                           uint64
-	budget, seeds                  int
-	ceiling, rates                 float64
-	doors, polite, json            bool
-	wait                           time.Duration
+	compare, limit, queue, placing    string
+	loads, causes, deployments        string
+	seed                              uint64
+	budget, seeds                     int
+	ceiling, rateFactor               float64
+	throttles, honourRetryAfter, json bool
+	wait                              time.Duration
 }
 
 func run(args []string) error {
@@ -46,7 +46,7 @@
 	fs.StringVar(&o.limit, "limit", limit.Gradient.String(), "limit of ours: gradient, aimd or fixed")
 	fs.StringVar(&o.queue, "queue", queue.Fair.String(), "queue of ours: fair, fifo or lifo")
 	fs.StringVar(&o.placing, "placing", placing.TwoChoices.String(), "placing of ours: twoChoices, roundRobin or leastLatency")
-	fs.StringVar(&o.loads, "loads", "1,2,5,10", "multiples of the deployment's normal load, or of the deepest service's latency")
+	fs.StringVar(&o.loads, "loads", "1,2,5,10", "multiples of the deployment's normal load, or factors of the slow instances' work times or of the loss, by cause")
 	fs.StringVar(&o.causes, "causes", "surge,skew,slow,oneSlow,lossy", "causes of overload or failure to simulate")
 	fs.StringVar(&o.deployments, "deployments", "rejestr,desarrollos", "deployments to simulate: rejestr, desarrollos, deep8, deep8fan4 or deep16")
 	fs.Uint64Var(&o.seed, "seed", 1, "seed of the random numbers")
@@ -54,9 +54,9 @@
 	fs.IntVar(&o.budget, "budget", chain.Ours().Budget, "upstream runs that one request may cause; 0 for three attempts at each hop")
 	fs.Float64Var(&o.ceiling, "ceiling", chain.Ours().Ceiling, "highest concurrency limit, as a multiple of an instance's slots")
 	fs.DurationVar(&o.wait, "wait", chain.Ours().Wait, "longest wait for a slot")
-	fs.Float64Var(&o.rates, "rates", 0, "rate limit of each organisation relative to what it sends at normal load; 0 for none")
-	fs.BoolVar(&o.doors, "doors", true, "reject at the ingress what would fail deeper in the call chain")
-	fs.BoolVar(&o.polite, "polite", false, "callers retry only after the Retry-After delay")
+	fs.Float64Var(&o.rateFactor, "rates", 0, "rate limit of each organisation relative to what it sends at normal load; 0 for none")
+	fs.BoolVar(&o.throttles, "doors", true, "reject at the ingress what would fail deeper in the call chain")
+	fs.BoolVar(&o.honourRetryAfter, "polite", false, "callers retry only after the Retry-After delay")
 	fs.BoolVar(&o.json, "json", false, "print JSON instead of a table")
 	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix("FOXTAILBENCH")); err != nil {
 		return err
@@ -86,7 +86,7 @@
 func (o *options) basePolicy() (chain.Policy, error) {
 	p := chain.Ours()
 	p.Wait = o.wait
-	p.Throttles, p.Budget, p.Ceiling, p.RateFactor = o.doors, o.budget, o.ceiling, o.rates
+	p.Throttles, p.Budget, p.Ceiling, p.RateFactor = o.throttles, o.budget, o.ceiling, o.rateFactor
 	var ok bool
 	if p.Limit, ok = limit.ParseKind(o.limit); !ok {
 		return p, errors.Errorf("-limit: no limit is called %q", o.limit)
@@ -135,9 +135,9 @@
 			all = append(all, variant("runs="+strconv.Itoa(n), func(p *chain.Policy) { p.Budget = n }))
 		}
 	case "rates":
-		for _, lent := range []bool{false, true} {
-			name := map[bool]string{false: "exact", true: "lent"}[lent]
-			all = append(all, variant(name, func(p *chain.Policy) { p.LendRates = lent }))
+		for _, lend := range []bool{false, true} {
+			name := map[bool]string{false: "exact", true: "lent"}[lend]
+			all = append(all, variant(name, func(p *chain.Policy) { p.LendRates = lend }))
 		}
 	case "wait":
 		for _, d := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, time.Second} {
@@ -183,7 +183,7 @@
 				for _, p := range policies {
 					for i := range o.seeds {
 						all = append(all, chain.Experiment{
-							Deployment: d, Policy: p, Cause: chain.Cause(cause), Times: load, Seed: o.seed + uint64(i), HonourRetryAfter: o.polite,
+							Deployment: d, Policy: p, Cause: chain.Cause(cause), Times: load, Seed: o.seed + uint64(i), HonourRetryAfter: o.honourRetryAfter,
 						})
 					}
 				}
@@ -193,7 +193,7 @@
 	return all
 }
 
-// inList reports whether a comma-separated list has the name.
+// inList reports whether a comma-separated list contains the name.
 func inList(list, name string) bool { return slices.Contains(strings.Split(list, ","), name) }
 
 // maxParallelRuns bounds the simulations that run at the same time.
--- a/cmd/foxtailbench/mechanisms.go
+++ b/cmd/foxtailbench/mechanisms.go
@@ -11,12 +11,12 @@
 	"github.com/foxtailhook/foxtailhook/internal/load/mesh"
 )
 
-// ablation is one load, simulated with each seed and with some mechanism disabled.
+// ablation is one load, simulated with each seed and with at most one mechanism disabled.
 type ablation struct {
 	without mechanism.Set
 	load    mesh.Load
-	// By seed: served is the fraction of callers' requests that were answered in time, and crossZone the fraction of runs in another
-	// availability zone.
+	// served and crossZone have one value for each seed: the fraction of callers' requests that were answered in time, and the
+	// fraction of runs in another availability zone.
 	served, crossZone []float64
 }
 
@@ -62,7 +62,7 @@
 	a.crossZone[n] = float64(crossZone) / float64(max(runs, 1))
 }
 
-// writeAblation writes a table with a row for each disabled mechanism.
+// writeAblation writes a table with a row for no disabled mechanism and then one for each.
 func writeAblation(out io.Writer, all []*ablation) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	loads := mesh.Loads()
--- a/cmd/foxtailhook/platform.go
+++ b/cmd/foxtailhook/platform.go
@@ -20,8 +20,8 @@
 	"github.com/foxtailhook/foxtailhook/platform"
 )
 
-// settingsVariable names the environment variable with the path of the users' platform's settings file. If it is set, the daemon
-// runs on that platform.
+// settingsVariable names the environment variable with the path of the settings file that the users' platform writes. If it is
+// set, the daemon runs on that platform.
 const settingsVariable = "FOXTAILHOOK_BOOT"
 
 // memoryFraction is the Go runtime's soft memory limit as a fraction of the process's memory. The rest is left for socket buffers,
@@ -32,7 +32,7 @@
 // megabytes would collect several times a second.
 const gcPercent = 200
 
-// settingsPollInterval is how often the settings file is checked for changes: it may change without a signal.
+// settingsPollInterval is the time between two checks of the settings file, which may change without a SIGHUP.
 const settingsPollInterval = time.Second
 
 // settingsPath returns the path of the platform's settings file, or "".
@@ -81,7 +81,7 @@
 	return set, errors.Wrap(err, "-without")
 }
 
-// watchSettings calls reload after each hangup signal and each change of the settings file.
+// watchSettings calls reload after each SIGHUP and each change of the settings file.
 func watchSettings(ctx context.Context, path string, hangup <-chan os.Signal, reload func()) {
 	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
--- a/cmd/foxtailrate/main.go
+++ b/cmd/foxtailrate/main.go
@@ -1,4 +1,4 @@
-// Command foxtailrate compares methods to divide an organisation's rate over a fleet, in simulated time.
+// Command foxtailrate compares variants of dividing an organisation's rate over a fleet, in simulated time.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	hosts := fs.Int("hosts", 15, "hosts of the fleet, in three availability zones")
 	seed := fs.Uint64("seed", 1, "seed of the run")
 	caseFilter := fs.String("case", "", "run only cases whose name contains this text")
-	variantFilter := fs.String("way", "", "run only methods whose name contains this text")
+	variantFilter := fs.String("way", "", "run only variants whose name contains this text")
 	perOrganisation := fs.Bool("each", false, "show each organisation, with all its refusals by cause")
 	asJSON := fs.Bool("json", false, "print one JSON line for each run instead of a table")
 	if err := ff.Parse(fs, os.Args[1:], ff.WithEnvVarPrefix("FOXTAILRATE")); err != nil {
@@ -52,9 +52,9 @@
 	_ = table.Flush()
 }
 
-// showOrganisations prints a row for each organisation; its refusals include those that a single global bucket would also make.
+// showOrganisations prints a row for each organisation; the refusals include rightful ones, above its rate.
 func showOrganisations(out io.Writer, r rates.Result) {
-	for _, tally := range r.Organisations {
-		fmt.Fprintf(out, "\t\t%s\t%d in\t%.2f\t%v\t\t\t\t\n", tally.Organisation, tally.Inside, tally.Percent(), tally.Refusals)
+	for _, counts := range r.Organisations {
+		fmt.Fprintf(out, "\t\t%s\t%d in\t%.2f\t%v\t\t\t\t\n", counts.Organisation, counts.Inside, counts.Percent(), counts.Refusals)
 	}
 }
