--- a/internal/domain/call/header.go
+++ b/internal/domain/call/header.go
@@ -1,5 +1,5 @@
 package call
 
-// Header holds header fields by canonical name. It is assignable to and from
-// http.Header; the domain must not import a package that opens sockets.
+// Header holds header fields by canonical name. It is the underlying type of http.Header, since the domain
+// must not import net/http, which opens sockets.
 type Header = map[string][]string
--- a/internal/domain/lists/table_test.go
+++ b/internal/domain/lists/table_test.go
@@ -28,7 +28,7 @@
 	return []byte(`{"organisations":[` + strings.Join(rows, ",") + "]}")
 }
 
-// edit inserts a fragment into a text, deletes bytes, or both, one to three times.
+// edit replaces up to 52 bytes of a text by a fragment, one to three times; the shortest entry with its comma has 51 bytes.
 func edit(t *rapid.T, raw []byte) []byte {
 	out := bytes.Clone(raw)
 	for range rapid.IntRange(1, 3).Draw(t, "edits") {
@@ -89,7 +89,7 @@
 		{"the last removed", list("a", "b", "c"), list("a", "b"), true},
 		{"one added at the end", list("a", "b"), list("a", "b", "c"), true},
 		{"one added at the beginning", list("b", "c"), list("a", "b", "c"), true},
-		{"the first entry of an empty list", list(), list("a"), true},
+		{"one added to an empty list", list(), list("a"), true},
 		{"the only entry removed", list("a"), list(), true},
 		{"a duplicate", list("a", "b", "c"), list("a", "c", "c"), false},
 		{"another field", list("a"), []byte(`{"Keys":[` + entry("a") + "]}\n"), false},
--- a/internal/domain/lists/view.go
+++ b/internal/domain/lists/view.go
@@ -26,6 +26,7 @@
 	organisations map[string]Organisation
 }
 
+// usesView holds the operations of each service, longest path first, and the operations that each plan grants, by name.
 type usesView struct {
 	operations map[string][]Operation
 	grants     map[string]map[string]bool
--- a/internal/domain/routing/table.go
+++ b/internal/domain/routing/table.go
@@ -11,12 +11,14 @@
 
 // Table is an immutable index of a configuration for look-ups.
 type Table struct {
-	config        Config
-	hosts         map[string][]*Route
-	organisations map[[sha256.Size]byte]*Organisation
-	byName        map[string]*Organisation
-	routes        map[string]*Route
-	relativeRanks map[rankPair]float64
+	config Config
+	// routesByHost holds the matchable routes by lower-case host name, longest prefix first, and organisationsByKey the
+	// organisations by the hash of each of their keys.
+	routesByHost        map[string][]*Route
+	organisationsByKey  map[[sha256.Size]byte]*Organisation
+	organisationsByName map[string]*Organisation
+	routesByName        map[string]*Route
+	relativeRanks       map[rankPair]float64
 }
 
 // rankPair holds the rank of an organisation and that of a route; an organisation without a rank has that of the route.
@@ -25,29 +27,29 @@
 // NewTable returns the table of a configuration; the caller must not change the configuration afterwards.
 func NewTable(c Config) *Table {
 	t := &Table{
-		config:        c,
-		hosts:         map[string][]*Route{},
-		organisations: map[[sha256.Size]byte]*Organisation{},
-		byName:        map[string]*Organisation{},
-		routes:        map[string]*Route{},
+		config:              c,
+		routesByHost:        map[string][]*Route{},
+		organisationsByKey:  map[[sha256.Size]byte]*Organisation{},
+		organisationsByName: map[string]*Organisation{},
+		routesByName:        map[string]*Route{},
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		t.routes[r.Name] = r
+		t.routesByName[r.Name] = r
 		if !r.matchable() {
 			continue
 		}
 		host := strings.ToLower(r.Host)
-		t.hosts[host] = append(t.hosts[host], r)
+		t.routesByHost[host] = append(t.routesByHost[host], r)
 	}
-	for _, routes := range t.hosts {
+	for _, routes := range t.routesByHost {
 		slices.SortFunc(routes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for i := range c.Organisations {
 		o := &c.Organisations[i]
-		t.byName[o.Name] = o
+		t.organisationsByName[o.Name] = o
 		for _, key := range o.Keys {
-			t.organisations[sha256.Sum256([]byte(key))] = o
+			t.organisationsByKey[sha256.Sum256([]byte(key))] = o
 		}
 	}
 	t.relativeRanks = relativeRanks(&c)
@@ -94,7 +96,7 @@
 
 // Match returns the host's route with the longest prefix of the path, or false.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	for _, r := range t.hosts[hostname(host)] {
+	for _, r := range t.routesByHost[hostname(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -104,7 +106,7 @@
 
 // Shares returns the services of a route with their shares of its requests; nil if the route doesn't exist.
 func (t *Table) Shares(name string) map[string]float64 {
-	r, ok := t.routes[name]
+	r, ok := t.routesByName[name]
 	if !ok {
 		return nil
 	}
@@ -137,7 +139,7 @@
 // Keys are looked up by their hash, so that response times reveal nothing about valid keys.
 func (t *Table) Authenticate(key string) (*Organisation, bool) {
 	hash := sha256.Sum256([]byte(key))
-	o, ok := t.organisations[hash]
+	o, ok := t.organisationsByKey[hash]
 	if !ok {
 		return nil, false
 	}
@@ -151,6 +153,6 @@
 
 // Organisation returns the organisation with the given name, or false.
 func (t *Table) Organisation(name string) (*Organisation, bool) {
-	o, ok := t.byName[name]
+	o, ok := t.organisationsByName[name]
 	return o, ok
 }
--- a/internal/wire/httpd/bounds.go
+++ b/internal/wire/httpd/bounds.go
@@ -32,7 +32,7 @@
 // EndIdle closes the connections that have been idle for longer than IdleTime; it must be called regularly.
 //
 // Otherwise callers that never return would use up the file descriptors. A caller whose next request arrives while its
-// connection is closed is told that the request wasn't run, and retries it.
+// connection is closed receives a response that the request wasn't run, and retries it.
 func (s *Server) EndIdle(now time.Time) {
 	limit := s.bounds.Load().IdleTime
 	if limit <= 0 {
--- a/internal/wire/httpd/guard.go
+++ b/internal/wire/httpd/guard.go
@@ -252,8 +252,8 @@
 // closeIfIdle closes a connection that has had no complete or partial request for minIdle.
 //
 // The caller may send its next request at the same moment. If the connection were
-// just closed, it couldn't know whether that request ran, so it is told that no
-// further request is run. 408 is the only response that HTTP allows a server to send
+// just closed, it couldn't know whether that request ran, so a response states that
+// no further request is run. 408 is the only response that HTTP allows a server to send
 // without a request: a caller without a request under way just drops the connection.
 func (g *guard) closeIfIdle(now time.Time, minIdle time.Duration) {
 	g.parseMu.Lock()
--- a/internal/wire/httpd/pipeline_test.go
+++ b/internal/wire/httpd/pipeline_test.go
@@ -60,15 +60,15 @@
 
 func TestPipelinedRequests(t *testing.T) {
 	// Guards against a quick request that waits behind a slow one of its connection while its deadline approaches.
-	begun, release := make(chan string, 8), make(chan struct{})
-	s, _ := startStoppable(t, echoPath(begun, release))
+	started, release := make(chan string, 8), make(chan struct{})
+	s, _ := startStoppable(t, echoPath(started, release))
 	Convey("All run at the same time, and the responses are sent in order", t, func() {
 		conn := dial(s)
 		defer func() { _ = conn.Close() }()
 		pipelineRequests(conn, "/slow", "/a", "/b")
 		running := map[string]bool{}
 		for range 3 {
-			running[<-begun] = true
+			running[<-started] = true
 		}
 		So(running, ShouldResemble, map[string]bool{"/slow": true, "/a": true, "/b": true})
 		close(release)
@@ -77,10 +77,10 @@
 }
 
 func TestCallerOfPipelinedRequestsDisconnects(t *testing.T) {
-	// Guards against running requests of a caller that has disconnected: only the first one's context was cancelled.
-	begun, ended := make(chan struct{}, 3), make(chan struct{}, 3)
+	// Guards against requests that keep running after their caller has disconnected: only the first one's context was cancelled.
+	started, ended := make(chan struct{}, 3), make(chan struct{}, 3)
 	s, _ := startStoppable(t, func(_ http.ResponseWriter, r *http.Request) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-r.Context().Done()
 		ended <- struct{}{}
 	})
@@ -88,7 +88,7 @@
 		conn := dial(s)
 		pipelineRequests(conn, "/a", "/b", "/c")
 		for range 3 {
-			<-begun
+			<-started
 		}
 		So(conn.Close(), ShouldBeNil)
 		for range 3 {
@@ -119,14 +119,14 @@
 
 func TestPipelinedRequestsWhileClosing(t *testing.T) {
 	// Guards against losing running requests when the daemon shuts down: the first response closed their connection.
-	begun, release := make(chan string, 8), make(chan struct{})
+	started, release := make(chan string, 8), make(chan struct{})
 	var closing atomic.Bool
-	s, _ := startStoppable(t, echoPath(begun, release), WithClosing(closing.Load))
+	s, _ := startStoppable(t, echoPath(started, release), WithClosing(closing.Load))
 	Convey("The received requests are answered, the last response closes the connection, and no more are read", t, func() {
 		conn := dial(s)
 		pipelineRequests(conn, "/slow1", "/slow2")
-		<-begun
-		<-begun
+		<-started
+		<-started
 		closing.Store(true)
 		close(release)
 		in := bufio.NewReader(conn)
@@ -141,23 +141,23 @@
 		_, _ = io.Copy(io.Discard, second.Body)
 		_, err = in.ReadByte()
 		So(err, ShouldEqual, io.EOF)
-		So(begun, ShouldBeEmpty)
+		So(started, ShouldBeEmpty)
 	})
 }
 
 func TestPendingRequestLimit(t *testing.T) {
 	// Guards against one connection using up the memory and goroutines of the daemon, and against an arrival time that
 	// leaves out the wait for earlier requests.
-	begun, release := make(chan string, 2*maxPending), make(chan struct{})
+	started, release := make(chan string, 2*maxPending), make(chan struct{})
 	var arrived atomic.Pointer[time.Time]
 	s, _ := startStoppable(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/waits" {
 			at := Arrived(r.Context())
 			arrived.Store(&at)
 		}
-		echoPath(begun, release)(w, r)
+		echoPath(started, release)(w, r)
 	})
-	Convey("At most maxRunning run, up to maxPending wait since their arrival, and the rest is refused after them", t, func() {
+	Convey("At most maxRunning run at a time, up to maxPending are accepted with their arrival times, and the next is refused after them", t, func() {
 		conn := dial(s)
 		paths := make([]string, maxPending+5)
 		for n := range paths {
@@ -166,10 +166,10 @@
 		paths[maxPending-1] = "/waits"
 		pipelineRequests(conn, paths...)
 		for range maxRunning {
-			<-begun
+			<-started
 		}
 		awaitPending(s, maxPending+1)
-		So(begun, ShouldBeEmpty)
+		So(started, ShouldBeEmpty)
 		released := time.Now()
 		close(release)
 		in := bufio.NewReader(conn)
@@ -199,7 +199,7 @@
 }
 
 func TestCallerThatReadsSlowly(t *testing.T) {
-	// Guards against responses that fill the memory when a caller sends requests and doesn't read.
+	// Guards against using up the memory for the responses to a caller that sends requests and doesn't read.
 	const count, size = 60, 256 << 10
 	var ran atomic.Int32
 	body := bytes.Repeat([]byte("x"), size)
@@ -287,7 +287,7 @@
 	})
 }
 
-// BenchmarkPipelinedRequests measures a quick request that is sent after one that takes 20 ms on the same connection.
+// BenchmarkPipelinedRequests measures quick requests that are pipelined after requests that take 20 ms.
 func BenchmarkPipelinedRequests(b *testing.B) {
 	s := New(anyLoopbackPort, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
--- a/internal/wire/httpd/server.go
+++ b/internal/wire/httpd/server.go
@@ -177,7 +177,7 @@
 // Stop closes the listener and waits until no connection is left, closing idle
 // ones; after ctx has ended it takes at most StopSlack more.
 //
-// Closing all connections at once would cut off requests that are still arriving, responses that
+// Closing all connections at once would interrupt requests that are still arriving, responses that
 // are still being sent, and requests that a caller sends on a connection that it takes to be open.
 func (s *Server) Stop(ctx context.Context) error {
 	backlogErr := s.listener.closePort()
--- a/internal/wire/httpd/server_test.go
+++ b/internal/wire/httpd/server_test.go
@@ -30,16 +30,16 @@
 
 func TestCallerDisconnects(t *testing.T) {
 	// Guards against a request that keeps its slot, for which others wait, after its caller has disconnected.
-	begun, ended := make(chan struct{}), make(chan struct{})
+	started, ended := make(chan struct{}), make(chan struct{})
 	url := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
-		close(begun)
+		close(started)
 		<-r.Context().Done()
 		close(ended)
 	})
 	Convey("The request's context is cancelled while its handler is running", t, func() {
 		ctx, disconnect := context.WithCancel(t.Context())
 		go func() {
-			<-begun
+			<-started
 			disconnect()
 		}()
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -54,10 +54,10 @@
 	// Guards against quick requests that wait because thousands of others wait for a slow service, as they would
 	// with a pool of handlers of fixed size.
 	const waiting = 300
-	begun, release := make(chan struct{}, waiting), make(chan struct{})
+	started, release := make(chan struct{}, waiting), make(chan struct{})
 	url := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
-			begun <- struct{}{}
+			started <- struct{}{}
 			<-release
 		}
 		_, _ = io.Copy(w, r.Body)
@@ -73,7 +73,7 @@
 			}()
 		}
 		for range waiting {
-			<-begun
+			<-started
 		}
 		res, err := client.Post(url+"/quick", "text/plain", strings.NewReader("quick"))
 		So(err, ShouldBeNil)
--- a/internal/wire/loops/await.go
+++ b/internal/wire/loops/await.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// probe is the session of a connection of the process to itself, which shows that an event loop runs.
+// probe is the session of a connection from the process to itself; data that is handled on it shows that the event loop runs.
 type probe struct {
 	once     sync.Once
 	answered chan struct{}
@@ -25,7 +25,7 @@
 // loop by the file descriptor, and consecutive descriptors reach consecutive loops.
 const maxProbes = 256
 
-// Await returns once each of a started engine's count event loops has answered a probe; the error is the reason why one can't be reached.
+// Await returns once each of the count event loops of a started engine has answered a probe, or an error if one can't be reached.
 func Await(engine *nbio.Engine, count int) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,7 +44,7 @@
 		// Kept open until the end, so that the next connection has other descriptors.
 		defer func() { _ = client.Close() }()
 		if reached[server.Hash()%count] {
-			// Closed at once: if both ends stayed open, the descriptors of each next connection would be two higher and
+			// Closed at once: if both ends stayed open, the descriptors of each further connection would be two higher and
 			// could reach this loop again every time.
 			_ = server.Close()
 			continue
