--- a/internal/bench/rates/arrive.go
+++ b/internal/bench/rates/arrive.go
@@ -9,8 +9,8 @@
 // tokenSearchTimeout is how long a request waits for tokens before it is refused.
 const tokenSearchTimeout = 200 * time.Millisecond
 
-// maxTokenWait bounds the wait for a token that a home expects. If no home expects one sooner, all homes are asked again at
-// once.
+// maxTokenWait bounds the wait for a token that a home expects. If no home expects one within it, the
+// search starts over at once.
 const maxTokenWait = 20 * time.Millisecond
 
 // Arrive processes an organisation's request at a host.
@@ -68,7 +68,7 @@
 	sim.refuse(organisation, Elsewhere, decided)
 }
 
-// useToken admits a request that has a token, or declines it, which returns the token later.
+// useToken admits a request that has a token, or counts it as declined; its token is then returned later.
 func (sim *Simulation) useToken(h *Host, organisation string, token rate.Token, decided func(bool)) {
 	if sim.DeclineFraction == 0 || sim.rng.Float64() >= sim.DeclineFraction {
 		sim.admit(organisation, decided)
@@ -96,8 +96,11 @@
 	decided(false)
 }
 
+// searchToken sends a lease request to the next home of the search. After the last home it waits for the first token that one
+// expects and starts over. Unless a home expected a token at once, the second round is the last, and requests fractions of
+// tokens too. After it, or after the deadline, the waiting requests are refused.
 func (sim *Simulation) searchToken(h *Host, organisation string, search *tokenSearch) {
-	ask, ok := sim.nextAsk(h, organisation, search)
+	ask, ok := sim.nextLeaseRequest(h, organisation, search)
 	if !ok && search.need < rate.Gathering && sim.Now.Before(search.deadline) {
 		wait := search.expectedWait
 		if wait > maxTokenWait {
@@ -133,7 +136,7 @@
 	}, resume)
 }
 
-func (sim *Simulation) nextAsk(h *Host, organisation string, search *tokenSearch) (rate.Ask, bool) {
+func (sim *Simulation) nextLeaseRequest(h *Host, organisation string, search *tokenSearch) (rate.Ask, bool) {
 	for len(search.homes) > 0 {
 		home := search.homes[0]
 		search.homes = search.homes[1:]
--- a/internal/bench/rates/causes.go
+++ b/internal/bench/rates/causes.go
@@ -31,7 +31,8 @@
 	Refusals map[string]int `json:"refusals"`
 }
 
-// Percent returns the refused percentage of the requests within the rate, which are those that one global bucket admits.
+// Percent returns by how much the admitted requests fall short of those that one global bucket admits, as a percentage of the
+// latter.
 func (c OrganisationCount) Percent() float64 {
 	return 100 * float64(max(c.Inside-c.Admitted, 0)) / float64(max(c.Inside, 1))
 }
--- a/internal/bench/rates/messages.go
+++ b/internal/bench/rates/messages.go
@@ -8,7 +8,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// confirmInterval is the time between two statement requests while there are members to ask, as in the daemon.
+// confirmInterval is the time between two statement requests while a member is due for one, as in the daemon.
 const confirmInterval = 20 * time.Millisecond
 
 func (sim *Simulation) startTimers(h *Host, incarnation uint64) {
@@ -105,7 +105,7 @@
 	sim.Counts.Bytes += frameBytes + sim.encodeBuffer.Len()
 }
 
-// leaseTimeout is the longest wait for a lease reply; after it, the next home is asked.
+// leaseTimeout is the longest wait for a lease reply; after it, the request goes to the next home.
 const leaseTimeout = 50 * time.Millisecond
 
 func (sim *Simulation) lease(h *Host, ask rate.Ask, done func(rate.LeaseReply, time.Time), failed func()) {
--- a/internal/bench/rates/schedule_test.go
+++ b/internal/bench/rates/schedule_test.go
@@ -14,7 +14,7 @@
 type schedule struct {
 	sim    *Simulation
 	listed []*Host
-	// listChanges has the times of recent changes of the host list. They are limited, since lists in use at the same time must
+	// listChanges holds the times of recent changes of the host list. They are limited, since lists in use at the same time must
 	// differ by less than a third.
 	listChanges []time.Time
 	// planDoubled and planRemoved are the current changes of the plans. appliedSince is when all processes had applied the
@@ -90,8 +90,8 @@
 	s.appliedSince = time.Time{}
 }
 
-// lowerCheckedPlan checks the lower plan once every process has had it for longer than a loan lasts.
-func (s *schedule) lowerCheckedPlan() {
+// checkLowerPlan makes the checker use the lower plan once every process has had it for more than twice the time of a loan.
+func (s *schedule) checkLowerPlan() {
 	sim := s.sim
 	switch {
 	case s.planDoubled || !sim.PlansApplied():
@@ -173,7 +173,7 @@
 		s.sim.Run(3 * time.Second)
 		for range scheduleSteps {
 			s.step(t)
-			s.lowerCheckedPlan()
+			s.checkLowerPlan()
 			if s.sim.Checker.Excess > 0 {
 				t.Fatalf("%.2f tokens above the limit, first at %s; %+v", s.sim.Checker.Excess, s.sim.Checker.FirstExcess.Sub(Start), s.sim.Counts)
 			}
--- a/internal/bench/rates/world.go
+++ b/internal/bench/rates/world.go
@@ -15,7 +15,7 @@
 // Division is a way in which the fleet divides a rate.
 type Division uint8
 
-// The ways that are compared.
+// The divisions that are compared.
 const (
 	// Lending lends tokens, as package rate does.
 	Lending Division = iota
@@ -74,7 +74,8 @@
 	Admitted int `json:"admitted"`
 	Refused  int `json:"refused"`
 	// Inside is the number of requests that one global bucket would have admitted.
-	Inside      int `json:"inside"`
+	Inside int `json:"inside"`
+	// LeaseNeeded is the number of requests that found no token in stock.
 	LeaseNeeded int `json:"asked"`
 	Messages    int `json:"messages"`
 	// Declined counts requests that had a token and did not run, and TokensReturned those of them whose tokens were returned.
@@ -84,7 +85,7 @@
 	Bytes int `json:"bytes"`
 }
 
-// Wrongful returns the number of requests that were refused although one global bucket would have admitted them.
+// Wrongful returns how many requests fewer were admitted than one global bucket would have admitted, at least 0.
 func (c Counts) Wrongful() int { return max(c.Inside-c.Admitted, 0) }
 
 // Host is one simulated host: a process at an address.
@@ -109,7 +110,7 @@
 
 // tokenSearch is a sequence of urgent lease requests with the requests that wait for their tokens.
 type tokenSearch struct {
-	// waiting has the callbacks of the waiting requests in order of arrival.
+	// waiting holds the callbacks of the waiting requests in order of arrival.
 	waiting      []func(admitted bool)
 	homes        []rate.Member
 	need         rate.Need
@@ -252,7 +253,7 @@
 // Crash ends a host's process without notice.
 func (sim *Simulation) Crash(h *Host) { h.alive = false }
 
-// Leave ends a host's process after it has handed over its shards and notified the other members.
+// Leave makes a host give up its shards and state that to the other members, and ends its process a second later.
 func (sim *Simulation) Leave(h *Host) {
 	for _, m := range h.home.Cease(sim.Now) {
 		sim.requestStatement(h, m)
--- a/internal/load/chain/instance.go
+++ b/internal/load/chain/instance.go
@@ -26,11 +26,11 @@
 }
 
 // accept accepts a request, or returns nil if all connections are in use.
-func (i *instance) accept(ready func()) *work {
+func (i *instance) accept(done func()) *work {
 	if i.busy+len(i.waiting) >= i.service.Connections {
 		return nil
 	}
-	w := &work{done: ready}
+	w := &work{done: done}
 	if i.busy < i.service.Slots {
 		i.start(w)
 	} else {
