--- a/internal/load/changes/demand.go
+++ b/internal/load/changes/demand.go
@@ -23,8 +23,8 @@
 // Demand describes traffic of rates.Organisations to a fleet of real daemons.
 type Demand struct {
 	Plan
-	// Skewed sends each organisation's requests to three daemons, different ones for each organisation; otherwise they are spread
-	// over all daemons.
+	// Skewed sends each organisation's requests to three consecutive daemons, starting one daemon further for each
+	// organisation; otherwise they are spread over all daemons.
 	Skewed bool
 	// Share is the offered load as a fraction of each organisation's rate; requests arrive as a Poisson process.
 	Share float64
@@ -37,12 +37,13 @@
 type DemandResult struct {
 	Daemons int    `json:"daemons"`
 	Arrival string `json:"arrival"`
-	// Percent is the percentage of requests refused for the rate, among those that one global bucket would have admitted.
+	// Percent is by how much the admitted requests fall short of those that one global bucket would have admitted, as a
+	// percentage of the latter.
 	Percent       float64                   `json:"wrongfulPercent"`
 	Organisations []rates.OrganisationCount `json:"organisations"`
-	// Other counts responses that were neither whole nor refused for the rate, by outcome and reason.
+	// Other counts responses that were neither whole nor refused with overRate, by outcome and reason.
 	Other map[string]int `json:"other"`
-	Spent ResourceUse    `json:"spent"`
+	Use   ResourceUse    `json:"spent"`
 }
 
 // demand counts the responses to a run's requests.
@@ -84,7 +85,7 @@
 	}
 	sleep(ctx, p.Warm)
 	var err error
-	r.Spent, err = p.measureDuring(ctx, func() error {
+	r.Use, err = p.measureDuring(ctx, func() error {
 		d.setCounting(true)
 		sleep(ctx, p.Length)
 		d.setCounting(false)
@@ -173,7 +174,7 @@
 	}
 }
 
-// recordArrival counts a request, and whether one global bucket would admit it. It returns false outside the counted time.
+// recordArrival counts a request, and whether one global bucket would admit it; outside the counted time it returns false.
 func (d *demand) recordArrival(organisation string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -188,7 +189,7 @@
 	return true
 }
 
-// requestTimeout is how long a response is waited for.
+// requestTimeout is the longest wait for a response.
 const requestTimeout = 5 * time.Second
 
 func (d *demand) request(key string, daemon Daemon) (outcome, reason string) {
--- a/internal/load/changes/run.go
+++ b/internal/load/changes/run.go
@@ -33,8 +33,9 @@
 	Ready int64 `json:"readyMs"`
 	// InForce is the time in milliseconds from publishing a change until the last daemon accepts it, over all changes; Each is
 	// the same for every pair of daemon and change.
-	InForce Range       `json:"inForceMs"`
-	Each    Range       `json:"eachMs"`
+	InForce Range `json:"inForceMs"`
+	Each    Range `json:"eachMs"`
+	// Missing is the number of those pairs for which the daemon's log shows no acceptance.
 	Missing int         `json:"missing"`
 	Idle    ResourceUse `json:"idle"`
 	Busy    ResourceUse `json:"changing"`
--- a/internal/load/changes/usage.go
+++ b/internal/load/changes/usage.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// usage is what a process has used since its start.
+// usage is a reading of a process's present memory and connections, and of what it has used since its start.
 type usage struct {
 	takenAt        time.Time
 	cpu            time.Duration
@@ -43,7 +43,7 @@
 func readUsage(ctx context.Context, d Daemon) (usage, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.PID))
 	if err != nil {
-		return usage{}, errors.Wrap(err, "changes: process")
+		return usage{}, errors.Wrap(err, "changes: read process statistics")
 	}
 	fields := bytes.Fields(raw[bytes.LastIndexByte(raw, ')')+1:])
 	user, _ := strconv.Atoi(string(fields[fieldUser]))
@@ -60,7 +60,7 @@
 func peakMemory(d Daemon) (int, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.PID))
 	if err != nil {
-		return 0, errors.Wrap(err, "changes: process")
+		return 0, errors.Wrap(err, "changes: read process status")
 	}
 	for line := range bytes.Lines(raw) {
 		if fields := bytes.Fields(line); len(fields) > 1 && string(fields[0]) == "VmHWM:" {
@@ -78,10 +78,10 @@
 		return err
 	}
 	var status struct {
-		Sent     uint64 `json:"peerBytesSent"`
-		Received uint64 `json:"peerBytesReceived"`
-		Links    int    `json:"peerConnections"`
-		Messages map[string]struct {
+		Sent        uint64 `json:"peerBytesSent"`
+		Received    uint64 `json:"peerBytesReceived"`
+		Connections int    `json:"peerConnections"`
+		Messages    map[string]struct {
 			Sent uint64 `json:"sent"`
 		} `json:"peerMessages"`
 		Rates struct {
@@ -92,7 +92,7 @@
 	if err := json.Unmarshal(raw, &status); err != nil {
 		return errors.Wrap(err, "changes: decode status")
 	}
-	u.sent, u.received, u.connections = status.Sent, status.Received, status.Links
+	u.sent, u.received, u.connections = status.Sent, status.Received, status.Connections
 	u.listBytes = status.Messages["digest"].Sent + status.Messages["fetch"].Sent
 	u.leaseBytes = status.Messages["lease"].Sent + status.Messages["confirm"].Sent + status.Messages["handover"].Sent
 	u.leaseRequests, u.tokenWaits = status.Rates.Asks, status.Rates.Waits
@@ -151,7 +151,7 @@
 }
 
 func usageBetween(before, after []usage) ResourceUse {
-	var cpu, sent, received, listBytes, leaseBytes, resident, peaks, links, asks, waits []float64
+	var cpu, sent, received, listBytes, leaseBytes, resident, peaks, connections, leaseRequests, tokenWaits []float64
 	for i := range before {
 		length := after[i].takenAt.Sub(before[i].takenAt).Seconds()
 		cpu = append(cpu, 100*(after[i].cpu-before[i].cpu).Seconds()/length)
@@ -159,15 +159,15 @@
 		received = append(received, float64(after[i].received-before[i].received)/length)
 		listBytes = append(listBytes, float64(after[i].listBytes-before[i].listBytes)/length)
 		leaseBytes = append(leaseBytes, float64(after[i].leaseBytes-before[i].leaseBytes)/length)
-		asks = append(asks, float64(after[i].leaseRequests-before[i].leaseRequests)/length)
-		waits = append(waits, float64(after[i].tokenWaits-before[i].tokenWaits)/length)
+		leaseRequests = append(leaseRequests, float64(after[i].leaseRequests-before[i].leaseRequests)/length)
+		tokenWaits = append(tokenWaits, float64(after[i].tokenWaits-before[i].tokenWaits)/length)
 		resident = append(resident, float64(after[i].residentMemory)/(1<<20))
 		peaks = append(peaks, float64(after[i].peakMemory)/(1<<20))
-		links = append(links, float64(after[i].connections))
+		connections = append(connections, float64(after[i].connections))
 	}
 	return ResourceUse{
 		CPU: rangeOf(cpu), Sent: rangeOf(sent), Received: rangeOf(received), Resident: rangeOf(resident),
 		ListBytes: rangeOf(listBytes), LeaseBytes: rangeOf(leaseBytes),
-		Peak: rangeOf(peaks), Connections: rangeOf(links), LeaseRequests: rangeOf(asks), Waits: rangeOf(waits),
+		Peak: rangeOf(peaks), Connections: rangeOf(connections), LeaseRequests: rangeOf(leaseRequests), Waits: rangeOf(tokenWaits),
 	}
 }
--- a/internal/load/latency/run.go
+++ b/internal/load/latency/run.go
@@ -27,7 +27,9 @@
 	WarmUp time.Duration
 }
 
-// Result holds the latencies of one way in milliseconds, and what it adds to the first way's.
+// Result holds the latencies of one way in milliseconds, and their difference from the first way's.
+//
+// Whole counts the complete responses after the warm-up, Failed all failures, also those during it.
 type Result struct {
 	Way        string           `json:"way"`
 	Whole      int64            `json:"whole"`
@@ -148,7 +150,7 @@
 	var all []Result
 	for _, w := range wayRuns {
 		r := Result{
-			Way: w.way.Name, Whole: w.latencies.TotalCount(), Failed: w.failed(), Failures: w.failures, P50Ms: w.quantileMs(50), P99Ms: w.quantileMs(99),
+			Way: w.way.Name, Whole: w.latencies.TotalCount(), Failed: w.failed(), Failures: w.failures, P50Ms: w.percentileMs(50), P99Ms: w.percentileMs(99),
 		}
 		if len(all) > 0 {
 			r.AddedP50Ms, r.AddedP99Ms = r.P50Ms-all[0].P50Ms, r.P99Ms-all[0].P99Ms
@@ -158,6 +160,6 @@
 	return all
 }
 
-func (w *wayRun) quantileMs(quantile float64) float64 {
-	return float64(w.latencies.ValueAtQuantile(quantile)) / 1000
+func (w *wayRun) percentileMs(percentile float64) float64 {
+	return float64(w.latencies.ValueAtQuantile(percentile)) / 1000
 }
--- a/internal/load/mesh/caller.go
+++ b/internal/load/mesh/caller.go
@@ -7,7 +7,7 @@
 
 // scheduleArrivals schedules callers' requests on the route as a Poisson process that ends at until.
 func (f *fleet) scheduleArrivals(r *Route, until time.Time) {
-	rate := r.ArrivalRate * max(f.faultLevel("", func(t *Fault) float64 { return t.SurgeFactor }), 1)
+	rate := r.ArrivalRate * max(f.faultLevel("", func(fault *Fault) float64 { return fault.SurgeFactor }), 1)
 	f.clock.After(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
 		if f.now().After(until) {
 			return
@@ -27,8 +27,8 @@
 func (f *fleet) sendCallerRequest(r *Route) {
 	start := f.now()
 	counts := f.result.countsOf(r.Name, f.second())
-	for _, t := range counts {
-		t.Requests++
+	for _, c := range counts {
+		c.Requests++
 	}
 	f.sendToDaemon(r, start, counts, func(a answer) {
 		remaining := r.Patience - f.now().Sub(start)
@@ -54,16 +54,16 @@
 }
 
 func countOutcome(r *Route, counts []*Counts, a answer, took time.Duration) {
-	for _, t := range counts {
+	for _, c := range counts {
 		switch {
 		case a.outcome == succeeded && took <= r.Target:
-			t.InTime++
+			c.InTime++
 		case a.outcome == succeeded:
-			t.Late++
+			c.Late++
 		case a.outcome == notRun:
-			t.NotRun++
+			c.NotRun++
 		default:
-			t.Failed++
+			c.Failed++
 		}
 	}
 }
--- a/internal/load/mesh/host.go
+++ b/internal/load/mesh/host.go
@@ -40,17 +40,17 @@
 }
 
 const (
-	// Above slowFromSaturation, a fraction of the slots, an instance's work takes slowFactor times as long.
-	slowFromSaturation = 0.95
-	slowFactor         = 1.3
-	waitUnit           = 50 * time.Millisecond
+	// Above slowFromOccupancy, a fraction of the slots, an instance's work takes slowFactor times as long.
+	slowFromOccupancy = 0.95
+	slowFactor        = 1.3
+	waitUnit          = 50 * time.Millisecond
 )
 
 // work draws the work time of a request on the route at this instance, at its present load.
 func (h *host) work(r *Route) time.Duration {
 	w := float64(h.fleet.sampleWork(r.Work)) * h.workFactor
-	w *= max(h.fleet.faultLevel(h.instance.Service, func(t *Fault) float64 { return t.SlowFactor }), 1)
-	if float64(h.gate.Load().InFlight) > slowFromSaturation*float64(h.instance.Slots) {
+	w *= max(h.fleet.faultLevel(h.instance.Service, func(fault *Fault) float64 { return fault.SlowFactor }), 1)
+	if float64(h.gate.Load().InFlight) > slowFromOccupancy*float64(h.instance.Slots) {
 		w *= slowFactor
 	}
 	return time.Duration(w)
@@ -58,7 +58,7 @@
 
 // unreachable reports whether the instance can't be reached now.
 func (h *host) unreachable() bool {
-	fraction := h.fleet.faultLevel(h.instance.Service, func(t *Fault) float64 { return t.UnreachableFraction })
+	fraction := h.fleet.faultLevel(h.instance.Service, func(fault *Fault) float64 { return fault.UnreachableFraction })
 	return float64(h.ordinal) < fraction*float64(h.serviceSize)
 }
 
--- a/internal/load/mesh/loads_test.go
+++ b/internal/load/mesh/loads_test.go
@@ -24,14 +24,14 @@
 // goodputBetween measures the goodput of a route's requests first sent between from and to.
 func goodputBetween(route string, from, to time.Duration) func(Result) float64 {
 	return func(r Result) float64 {
-		t := r.Between(route, from, to)
-		return t.Goodput()
+		counts := r.Between(route, from, to)
+		return counts.Goodput()
 	}
 }
 
 // TestSurgeWithFanOut guards against a surge in which nearly all requests fail because each makes eight sub-calls of a small
-// service. Next to all other requests, the service has capacity for 271 lookups a second, 0.47 of those sent; three quarters
-// of these should be answered in time.
+// service. Besides all other requests, the service has capacity for 271 lookups a second, 0.47 of those sent; three
+// quarters of the 271 should be answered in time.
 func TestSurgeWithFanOut(t *testing.T) {
 	surgeFaults := []Fault{{From: 2 * time.Second, Duration: 10 * time.Second, SurgeFactor: 1.7}}
 	Convey("Routes of high rank or with few sub-calls are served, and lookups get nearly all of the remaining capacity", t, func() {
@@ -44,8 +44,8 @@
 	})
 	Convey("Few responses, including those to client retries, miss the target", t, func() {
 		So(meanOverSeeds(surgeFaults, 12*time.Second, func(r Result) float64 {
-			t := r.Between("lookup", 4*time.Second, 12*time.Second)
-			return float64(t.Late) / float64(t.Requests)
+			counts := r.Between("lookup", 4*time.Second, 12*time.Second)
+			return float64(counts.Late) / float64(counts.Requests)
 		}), ShouldBeLessThan, 0.03)
 	})
 }
@@ -56,7 +56,7 @@
 	const from, to = 11 * time.Second, 17 * time.Second
 	declineFaults := []Fault{{From: 10 * time.Second, Duration: 8 * time.Second, Service: "directory", DeclineFraction: 0.55}}
 	Convey("At least three in ten of the unlocks that the retry budget allows succeed, and most maps", t, func() {
-		// The budget is 0.2 retries for each of 3,400 requests a second, that is 680; 100 of them serve all maps, and an unlock needs 9.8.
+		// The budget is 0.2 retries for each of 3,400 requests a second, that is 680; 100 of them serve all maps, and each of the 93 unlocks a second needs 9.8.
 		const unlocks = (680 - 100) / 9.8 / 93
 		So(meanOverSeeds(declineFaults, to, goodputBetween("unlock", from, to)), ShouldBeGreaterThan, 0.3*unlocks)
 		So(meanOverSeeds(declineFaults, to, goodputBetween("map", from, to)), ShouldBeGreaterThan, 0.6)
@@ -82,8 +82,8 @@
 			s.Faults = declineFaults
 			r := Simulate(s, to)
 			retries := 0
-			for _, t := range r.Routes {
-				retries += t.Retries
+			for _, counts := range r.Routes {
+				retries += counts.Retries
 			}
 			So(retries, ShouldBeLessThan, 0.2*34_000+50)
 		}
@@ -91,43 +91,43 @@
 }
 
 // TestLastServiceDecliningHalf guards against lookups taking precedence over notices of higher rank when the retry budget is
-// the bottleneck: each notice needs five retries, and lookups, about three times as many, can spend the saved budget in the
-// first second.
+// the bottleneck: each notice needs five retries, and the lookups, about three for each notice, can spend the saved budget
+// in the first second.
 func TestLastServiceDecliningHalf(t *testing.T) {
 	const from, to = 13 * time.Second, 21 * time.Second
 	faults := []Fault{
 		{From: 500 * time.Millisecond, Duration: 16 * time.Second, SurgeFactor: 1.8},
 		{From: from, Duration: to - from, Service: "records", DeclineFraction: 0.55},
 	}
-	var means struct{ notices, lookups, uploads, confirms, failed, retryExcess float64 }
+	var results struct{ notices, lookups, uploads, confirms, failed, maxRetryExcess float64 }
 	for _, seed := range seeds {
 		s := Chain(seed)
 		s.Faults = faults
 		r := Simulate(s, 25*time.Second)
 		goodput := func(route string) float64 {
-			t := r.Between(route, from, to)
-			return t.Goodput() / float64(len(seeds))
+			counts := r.Between(route, from, to)
+			return counts.Goodput() / float64(len(seeds))
 		}
-		means.notices += goodput("notice")
-		means.lookups += goodput("lookup")
-		means.uploads += goodput("upload")
-		means.confirms += goodput("confirm")
+		results.notices += goodput("notice")
+		results.lookups += goodput("lookup")
+		results.uploads += goodput("upload")
+		results.confirms += goodput("confirm")
 		notices := r.Between("notice", from+time.Second, to)
-		means.failed += float64(notices.Failed) / float64(notices.Requests) / float64(len(seeds))
-		means.retryExcess = max(means.retryExcess, r.RetryExcess("records", s.RetryLimits))
+		results.failed += float64(notices.Failed) / float64(notices.Requests) / float64(len(seeds))
+		results.maxRetryExcess = max(results.maxRetryExcess, r.RetryExcess("records", s.RetryLimits))
 	}
 	Convey("Notices are served far more often than lookups, and routes that need few or no retries are served", t, func() {
-		So(means.notices, ShouldBeGreaterThan, 3*means.lookups)
+		So(results.notices, ShouldBeGreaterThan, 3*results.lookups)
 		// The limits allow about 4,100 retries in this interval; confirmations take 350 and each notice five, enough for 700 of the 850 notices.
-		So(means.notices, ShouldBeGreaterThan, 0.5*700/850)
-		So(means.confirms, ShouldBeGreaterThan, 0.5)
-		So(means.uploads, ShouldBeGreaterThan, 0.95)
+		So(results.notices, ShouldBeGreaterThan, 0.5*700/850)
+		So(results.confirms, ShouldBeGreaterThan, 0.5)
+		So(results.uploads, ShouldBeGreaterThan, 0.95)
 	})
 	Convey("From one second after the start of the fault, few notices fail after admission", t, func() {
-		So(means.failed, ShouldBeLessThan, 0.15)
+		So(results.failed, ShouldBeLessThan, 0.15)
 	})
 	Convey("The records service gets no more retries than the limits allow in any window", t, func() {
-		So(means.retryExcess, ShouldBeLessThanOrEqualTo, 0)
+		So(results.maxRetryExcess, ShouldBeLessThanOrEqualTo, 0)
 	})
 }
 
@@ -150,9 +150,9 @@
 func TestRequestsStayInZone(t *testing.T) {
 	crossZoneFraction := func(r Result) float64 {
 		crossed, runs := 0, 0
-		for _, t := range r.Routes {
-			crossed += t.CrossZone
-			runs += t.Runs
+		for _, counts := range r.Routes {
+			crossed += counts.CrossZone
+			runs += counts.Runs
 		}
 		return float64(crossed) / float64(runs)
 	}
--- a/internal/load/mesh/request.go
+++ b/internal/load/mesh/request.go
@@ -34,21 +34,24 @@
 
 // request is one request at the daemon that received it from a caller or from its local instance.
 type request struct {
-	route        *Route
+	route *Route
+	// root is the route of the caller's request that this one is part of.
 	root         *Route
 	organisation string
 	deadline     time.Time
 	subcall      bool
-	retry        bool
-	counts       []*Counts
-	done         func(answer)
+	// retry marks a sub-call of a run that is itself a retry.
+	retry  bool
+	counts []*Counts
+	done   func(answer)
 	// finished is set once the request has a response or was cancelled.
 	finished bool
 	// cancelAttempt cancels the current attempt.
 	cancelAttempt func()
 
 	tracker *offers.Tracker
-	last    answer
+	// last is the response to send if no further attempt is made.
+	last answer
 }
 
 // cancel cancels the request and its current attempt, since the sender no longer waits for it.
@@ -74,7 +77,8 @@
 	return shed.Class{Route: q.root.Name, Service: q.root.Service, Rank: q.root.Rank}
 }
 
-// serve applies admission control to a caller's request, counts the request for the retry budget and sends the first attempt.
+// serve admits or rejects a caller's request; sub-calls are always admitted. It then earns retry budget, or charges the
+// budget for a sub-call of a retry, and sends the first attempt.
 func (h *host) serve(q *request) {
 	now := h.fleet.now()
 	if !q.subcall {
@@ -143,15 +147,19 @@
 			h.handleResult(q, instance.ID, a)
 		})
 	}
-	for _, t := range q.counts {
+	for _, c := range q.counts {
 		if instance.Zone != h.instance.Zone {
-			t.CrossZone++
+			c.CrossZone++
 		}
 	}
 	h.fleet.clock.After(hostDelay, attempt.arrive)
 }
 
 // handleResult records the result of an attempt and finishes the request or sends the next attempt.
+//
+// After a request that ran and failed, there is another attempt only if the route allows it and the instance itself failed or
+// its response was lost. A failed sub-call has already been retried by the instance's host; only if that mechanism is disabled,
+// the whole request is retried.
 func (h *host) handleResult(q *request, id string, a answer) {
 	if q.finished {
 		return
--- a/internal/load/mesh/tally.go
+++ b/internal/load/mesh/tally.go
@@ -40,8 +40,8 @@
 	return &r.Services[service][n]
 }
 
-// RetryExcess returns by how many retries the service exceeded the fleet's retry limits in its worst window; it is negative
-// if all windows were within them. The retries of a window are measured against the requests of that window, of the one half
+// RetryExcess returns by how many retries the service exceeded the fleet's retry limits in its worst window; it is above 0
+// only if a window exceeded them. The retries of a window are measured against the requests of that window, of the one half
 // a window earlier or of the one before, whichever has the most.
 func (r *Result) RetryExcess(service string, limits repeats.Limits) float64 {
 	sent := r.Services[service]
@@ -77,29 +77,29 @@
 	return counts
 }
 
-// Between sums the route's counts of requests that were first sent between from and to.
+// Between sums the route's counts, except CrossZone, of requests that were first sent between from and to, in whole seconds.
 func (r *Result) Between(route string, from, to time.Duration) Counts {
 	var sum Counts
 	for second := int(from.Seconds()); second < min(int(to.Seconds()), len(r.Seconds)); second++ {
-		t := r.Seconds[second][route]
-		if t == nil {
+		counts := r.Seconds[second][route]
+		if counts == nil {
 			continue
 		}
-		sum.Requests += t.Requests
-		sum.InTime += t.InTime
-		sum.Late += t.Late
-		sum.NotRun += t.NotRun
-		sum.Failed += t.Failed
-		sum.Runs += t.Runs
-		sum.Retries += t.Retries
+		sum.Requests += counts.Requests
+		sum.InTime += counts.InTime
+		sum.Late += counts.Late
+		sum.NotRun += counts.NotRun
+		sum.Failed += counts.Failed
+		sum.Runs += counts.Runs
+		sum.Retries += counts.Retries
 	}
 	return sum
 }
 
-// Goodput returns the fraction of requests that were answered within the target, 0 to 1.
-func (t Counts) Goodput() float64 {
-	if t.Requests == 0 {
+// Goodput returns the fraction of requests that were answered within the target, 0 to 1; it is 1 without requests.
+func (c Counts) Goodput() float64 {
+	if c.Requests == 0 {
 		return 1
 	}
-	return float64(t.InTime) / float64(t.Requests)
+	return float64(c.InTime) / float64(c.Requests)
 }
--- a/internal/load/mesh/visit.go
+++ b/internal/load/mesh/visit.go
@@ -105,16 +105,16 @@
 	if e.retry {
 		f.result.sentAt(e.request.route.Service, f.now().Sub(f.start)).Retries++
 	}
-	for _, t := range e.request.counts {
-		t.Runs++
+	for _, c := range e.request.counts {
+		c.Runs++
 		if e.retry {
-			t.Retries++
+			c.Retries++
 		}
 	}
 	e.lineageRun = &lineage.Run{Route: e.request.route.Name, Root: e.request.root.Name, Priority: e.ticket.Priority, Retry: e.retry}
 	e.host.runs.Begin(e.lineageRun, e.deadline)
 	e.host.delivered++
-	if f.random.Float64() < f.faultLevel(e.host.instance.Service, func(t *Fault) float64 { return t.DeclineFraction }) {
+	if f.random.Float64() < f.faultLevel(e.host.instance.Service, func(fault *Fault) float64 { return fault.DeclineFraction }) {
 		f.clock.After(declineDelay, func() {
 			e.end(answer{outcome: notRun, result: choice.Declined, retryAfter: declinedRetryAfter, delivered: true})
 		})
@@ -131,7 +131,7 @@
 
 func (e *execution) complete() {
 	f := e.host.fleet
-	if f.random.Float64() < f.faultLevel(e.host.instance.Service, func(t *Fault) float64 { return t.LossFraction }) {
+	if f.random.Float64() < f.faultLevel(e.host.instance.Service, func(fault *Fault) float64 { return fault.LossFraction }) {
 		e.end(answer{outcome: failed, result: choice.Lost, delivered: true, responseLost: true})
 		return
 	}
--- a/internal/load/traffic/plan.go
+++ b/internal/load/traffic/plan.go
@@ -31,7 +31,7 @@
 	Timeout      Duration `json:"timeout"`
 	// WithinRate marks a stream within its organisation's rate, so that a refusal is wrongful.
 	WithinRate bool `json:"withinRate"`
-	// Measured marks a stream whose added latency is measured, until QuietUntil.
+	// Measured marks a stream whose added latency is measured until the plan's QuietUntil.
 	Measured bool `json:"measured"`
 }
 
@@ -48,11 +48,12 @@
 
 // Plan describes a whole run.
 type Plan struct {
-	Daemons    []netip.AddrPort `json:"daemons"`
-	Length     Duration         `json:"length"`
-	QuietUntil Duration         `json:"quietUntil"`
-	Streams    []Stream         `json:"streams"`
-	Events     []Event          `json:"events"`
+	Daemons []netip.AddrPort `json:"daemons"`
+	Length  Duration         `json:"length"`
+	// QuietUntil ends the initial part of the run, in which added latency is measured.
+	QuietUntil Duration `json:"quietUntil"`
+	Streams    []Stream `json:"streams"`
+	Events     []Event  `json:"events"`
 }
 
 // ReadPlan reads a plan from a JSON file; unknown fields are an error.
--- a/internal/load/traffic/tally.go
+++ b/internal/load/traffic/tally.go
@@ -9,10 +9,12 @@
 
 // Result holds the totals of a run; Sent = Whole + Refused + Unknown.
 type Result struct {
-	Sent             int     `json:"sent"`
-	Whole            int     `json:"whole"`
-	Refused          int     `json:"refused"`
-	Unknown          int     `json:"unknown"`
+	Sent    int `json:"sent"`
+	Whole   int `json:"whole"`
+	Refused int `json:"refused"`
+	Unknown int `json:"unknown"`
+	// WrongfulRefusals counts the refused requests of streams within their rate, except refusals of a withdrawn key, and
+	// AfterWithdrawal the whole responses to requests sent with a key withdrawn longer ago than withdrawalGrace.
 	WrongfulRefusals int     `json:"wrongfulRefusals"`
 	AfterWithdrawal  int     `json:"afterWithdrawal"`
 	AddedP50Ms       float64 `json:"addedP50Ms"`
