--- a/parts/admission/admission.go
+++ b/parts/admission/admission.go
@@ -7,39 +7,40 @@
 	"github.com/foxtailhook/foxtailhook/parts/limit"
 )
 
-// Gate is the limit and the queue of one upstream; it is safe for concurrent use.
+// Gate is the concurrency limit and the queue of one upstream; it is safe for
+// concurrent use.
 //
-// Arrive decides on a new request, Leave ends a wait whose time is up, and
-// Settle ends a run and starts what waits.
+// Arrive decides on a new request, Leave takes a request whose time is up out
+// of the queue, and Settle records the end of a run and starts waiting requests.
 type Gate = admission.Gate
 
-// Ticket is one request at a gate; it must not be copied or used again before it is over.
+// Ticket is one request at a gate; it must not be copied, nor reused before the request is over.
 type Ticket = admission.Ticket
 
-// Waiter is told once how a wait ended; it must return at once and not call the gate.
+// Waiter receives the decision on a waiting ticket, once; Decide must return at once and not call the gate.
 type Waiter = admission.Waiter
 
-// Decision is a verdict with the reason of a refusal and when to come back.
+// Decision is a verdict, with the reason and the Retry-After delay of a refusal.
 type Decision = admission.Decision
 
-// Result is how a run ended.
+// Result is the result of a run.
 type Result = admission.Result
 
-// Option sets one property of a gate.
+// Option configures a gate.
 type Option = admission.Option
 
-// The verdicts: run now, wait for the ticket's Waiter, or refused for good.
+// The verdicts: run now, wait until the ticket's Waiter is called, or refused.
 const (
 	Run    = admission.Run
 	Wait   = admission.Wait
 	Refuse = admission.Refuse
 )
 
-// WithWait sets the longest wait, 250 ms by default.
+// WithWait sets the maximum wait of requests whose ticket sets none, 250 ms by default.
 func WithWait(d time.Duration) Option { return admission.WithWait(d) }
 
-// WithLength sets how many requests may wait, 1,024 by default.
+// WithLength sets the maximum number of waiting requests, 1,024 by default.
 func WithLength(requests int) Option { return admission.WithLength(requests) }
 
-// New returns a gate with the limit and a fair queue.
-func New(l limit.Learner, opts ...Option) *Gate { return admission.New(l, opts...) }
+// New returns a gate with the concurrency limit of the learner and a fair queue.
+func New(learner limit.Learner, opts ...Option) *Gate { return admission.New(learner, opts...) }
--- a/parts/admission/doc.go
+++ b/parts/admission/doc.go
@@ -1,3 +1,3 @@
 // Package admission decides which requests run now, which wait and which are
-// refused: the concurrency limit and the fair queue joined.
+// refused. It combines a concurrency limit with a fair queue.
 package admission
--- a/parts/admission/example_test.go
+++ b/parts/admission/example_test.go
@@ -9,21 +9,23 @@
 	"github.com/foxtailhook/foxtailhook/parts/queue"
 )
 
-// told prints how a wait ended.
-type told string
+// waitPrinter prints the decision on the waiting request of this name.
+type waitPrinter string
 
 // Decide prints the decision.
-func (t told) Decide(d admission.Decision) { fmt.Println(string(t), "waited, then:", d.Verdict) }
+func (name waitPrinter) Decide(d admission.Decision) {
+	fmt.Println(string(name), "waited, then:", d.Verdict)
+}
 
-// An upstream runs one request at a time. The second waits, and the end of the
-// first starts it; a third, whose deadline is past, is refused at once.
+// An upstream runs one request at a time. The second request waits and starts
+// when the first ends; a third, whose deadline has passed, is refused at once.
 func Example() {
 	gate := admission.New(limit.NewFixed(1))
 	now := time.Now()
 	ticket := func(name string, timeout time.Duration) *admission.Ticket {
 		return &admission.Ticket{
 			Organisation: "dealer", Operation: "find", Weight: 1, Priority: queue.Interactive,
-			Deadline: now.Add(timeout), Waiter: told(name),
+			Deadline: now.Add(timeout), Waiter: waitPrinter(name),
 		}
 	}
 	first, second, third := ticket("first", time.Second), ticket("second", time.Second), ticket("third", -time.Second)
--- a/parts/budget/budget.go
+++ b/parts/budget/budget.go
@@ -4,9 +4,9 @@
 
 // Account holds the runs that one request may still cause below one hop; it is safe for concurrent use.
 //
-// Draw takes runs for one attempt, Settle gives back what the attempt's answer
-// says is unused, Close ends the account and returns the rest for the answer
-// to the hop above.
+// Draw takes runs for one attempt, Settle returns those that the attempt's
+// response reports as unused, and Close ends the account and returns the
+// remaining runs, which the response to the caller reports as unused.
 type Account = budget.Account
 
 // New returns an account with the given number of runs.
--- a/parts/budget/doc.go
+++ b/parts/budget/doc.go
@@ -1,2 +1,2 @@
-// Package budget bounds the runs that one request may cause over its whole call chain.
+// Package budget limits the number of upstream runs that one request may cause in its whole call chain.
 package budget
--- a/parts/budget/example_test.go
+++ b/parts/budget/example_test.go
@@ -6,18 +6,18 @@
 	"github.com/foxtailhook/foxtailhook/parts/budget"
 )
 
-// A request may cause eight runs. Its first attempt hands runs on to the next
-// hop, whose answer brings back what it did not use; a lost answer brings none.
+// A request may cause eight runs. The first attempt passes runs to the next
+// hop, whose response returns the unused ones; a lost response returns none.
 func ExampleAccount() {
 	account := budget.New(8)
 
 	runs, _ := account.Draw(2)
 	fmt.Println("sent with the first attempt:", runs)
-	account.Settle(runs, 1) // the answer says that one run is unused.
+	account.Settle(runs, 1) // the response reports one run as unused.
 	fmt.Println("left:", account.Left())
 
 	runs, _ = account.Draw(2)
-	account.Settle(runs, 0) // no answer came back.
+	account.Settle(runs, 0) // the response was lost.
 	fmt.Println("goes back up with the answer:", account.Close())
 
 	runs, wait := account.Draw(1)
--- a/parts/doc.go
+++ b/parts/doc.go
@@ -1,5 +1,5 @@
-// Package parts is the folder of the coordination parts that work alone, without the daemon.
+// Package parts holds the coordination algorithms that can be used without the daemon.
 //
-// Each is a package of its own below this one. All are free of input and
-// output: the embedding program brings time, sockets and threads.
+// Each is a package below this one. None does input or output: the embedding
+// program provides time, sockets and goroutines.
 package parts
--- a/parts/limit/doc.go
+++ b/parts/limit/doc.go
@@ -1,2 +1,2 @@
-// Package limit learns how many requests an upstream runs well at once.
+// Package limit adapts the concurrency limit of an upstream to its latency and its signs of overload.
 package limit
--- a/parts/limit/limit.go
+++ b/parts/limit/limit.go
@@ -2,20 +2,22 @@
 
 import "github.com/foxtailhook/foxtailhook/internal/decide/limit"
 
-// Learner holds the limit; it is used by one goroutine at a time.
+// Learner holds the concurrency limit; it isn't safe for concurrent use.
 //
-// Limit returns how many may run at once, and Learn takes in one finished run.
+// Limit returns how many requests may run at once, and Learn records one
+// finished run.
 type Learner = limit.Learner
 
-// Sample is what one finished run tells of the upstream; latencies are those of the run alone, without waiting.
+// Sample is the measurement of one finished run; its latency excludes the wait in the queue and sub-calls.
 type Sample = limit.Sample
 
 // NewGradient returns a learner that compares latency with its low-load
-// baseline and never exceeds the ceiling, in requests at once.
+// baseline; its limit never exceeds the ceiling, in concurrent requests.
 func NewGradient(ceiling int) Learner { return limit.NewGradient(ceiling) }
 
-// NewAIMD returns a learner that adds one in a busy window and cuts by a tenth in one with signs of overload, never above the ceiling.
+// NewAIMD returns a learner that raises its limit by one in a busy window, up to the ceiling, and lowers it by a tenth in
+// one with signs of overload.
 func NewAIMD(ceiling int) Learner { return limit.NewAIMD(ceiling) }
 
-// NewFixed returns a learner that never moves.
+// NewFixed returns a learner with a constant limit.
 func NewFixed(requests int) Learner { return limit.NewFixed(requests) }
--- a/parts/queue/doc.go
+++ b/parts/queue/doc.go
@@ -1,2 +1,2 @@
-// Package queue orders waiting work: by priority, and within one fairly between organisations by weight.
+// Package queue orders waiting requests by priority, and within one priority fairly between organisations by weight.
 package queue
--- a/parts/queue/example_test.go
+++ b/parts/queue/example_test.go
@@ -6,8 +6,8 @@
 	"github.com/foxtailhook/foxtailhook/parts/queue"
 )
 
-// A maker's campaign files came first and are many; the dealer's lookup waits
-// behind none of them, and another maker behind one.
+// A maker's many campaign files arrived first; the dealer's lookup, of a higher
+// priority, waits for none of them, and another maker's file for one.
 func ExampleNew() {
 	q := queue.New[string]()
 	push := func(organisation, work string, p queue.Priority) {
@@ -18,8 +18,8 @@
 	push("maker-a", "file a3", queue.Background)
 	push("maker-b", "file b1", queue.Background)
 	push("dealer", "lookup", queue.Interactive)
-	for i := q.Pop(); i != nil; i = q.Pop() {
-		fmt.Println(i.Value)
+	for item := q.Pop(); item != nil; item = q.Pop() {
+		fmt.Println(item.Value)
 	}
 	// Output:
 	// lookup
--- a/parts/queue/queue.go
+++ b/parts/queue/queue.go
@@ -5,16 +5,17 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Queue is an order of service; it is used by one goroutine at a time.
+// Queue is an order of service; it isn't safe for concurrent use.
 //
-// Push adds an item, Pop takes out the one to serve next or returns nil, Remove
-// takes out one that gave up, and Victim names who leaves a full queue.
+// Push adds an item, Pop removes and returns the one to serve next or returns
+// nil, Remove removes one that no longer waits, and Victim returns the one to
+// evict from a full queue.
 type Queue[T any] = queue.Queue[T]
 
-// Item is one piece of waiting work; Cost is in any unit that all items share, such as seconds.
+// Item is one waiting request; Cost is the expected time in a slot, in any unit that all items share, such as seconds.
 type Item[T any] = queue.Item[T]
 
-// Priority orders work when load must be shed; a higher one is shed later.
+// Priority orders requests when load must be shed; a higher one is shed later.
 type Priority = call.Priority
 
 // The priorities, lowest first.
@@ -24,6 +25,7 @@
 	Interactive = call.Interactive
 )
 
-// New returns an empty fair queue: the highest priority first, with one turn in
-// 32 for the rest, and within a priority each organisation by its weight.
+// New returns an empty fair queue: the highest priority first, except that one
+// turn in 32 serves the others, and within a priority each organisation by its
+// weight.
 func New[T any]() Queue[T] { return queue.NewFair[T]() }
--- a/parts/rate/doc.go
+++ b/parts/rate/doc.go
@@ -1,8 +1,8 @@
-// Package rate keeps every organisation within its rate and burst over all
-// hosts together, without shared state and without a thread of its own.
+// Package rate limits every organisation to its rate and burst across all
+// hosts, without shared state and without goroutines of its own.
 //
-// Each host has a Home, which lends tokens of the shards that fall to it, and a
-// Borrower, which spends what homes lent. The embedding program carries their
-// messages and tells them the time; whatever is lost, late or doubled on the
-// way, no interval sees more than burst + rate × length.
+// Each host has a Home, which owns rate shards and lends their tokens, and a
+// Borrower, which spends the tokens that homes lent. The embedding program
+// carries their messages and passes in the time. Even if messages are lost,
+// late or duplicated, no interval admits more than burst + rate × length.
 package rate
--- a/parts/rate/example_test.go
+++ b/parts/rate/example_test.go
@@ -8,20 +8,20 @@
 	"github.com/foxtailhook/foxtailhook/parts/rate"
 )
 
-// host is one of the fleet: a home and a borrower. A program would run them
-// beside each other and carry the messages over its network.
+// host is one host of the fleet, with a home and a borrower. A real program
+// would run both in one process and carry the messages over its network.
 type host struct {
 	member   rate.Member
 	home     *rate.Home
 	borrower *rate.Borrower
 }
 
-func newHost(number byte, l rate.Limits, now time.Time) *host {
-	m := rate.Member{Host: fmt.Sprintf("host-%d", number), Peer: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, number}), 7001)}
-	return &host{member: m, home: rate.NewHome(m, 1, l, now), borrower: rate.NewBorrower(m.Host, 1, l)}
+func newHost(number byte, limits rate.Limits, now time.Time) *host {
+	member := rate.Member{Host: fmt.Sprintf("host-%d", number), Peer: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, number}), 7001)}
+	return &host{member: member, home: rate.NewHome(member, 1, limits, now), borrower: rate.NewBorrower(member.Host, 1, limits)}
 }
 
-// exchange carries the messages that are due; here they arrive at once.
+// exchange delivers the messages that are due, without latency.
 func exchange(fleet map[rate.Member]*host, now time.Time) {
 	for _, h := range fleet {
 		if to, ok := h.home.NextAsk(now); ok {
@@ -34,9 +34,9 @@
 	}
 }
 
-// An organisation with 30 requests/s and a burst of 30 sends 300 requests/s,
-// over three hosts that share nothing but messages. Together they admit no more
-// than its burst and its rate.
+// An organisation with a rate of 30 requests/s and a burst of 30 sends 300
+// requests/s to three hosts, which share nothing but messages. Together they
+// admit no more than its burst and its rate.
 func Example() {
 	now := time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 	limits := rate.Limits{Fence: 10 * time.Second, Loan: time.Second, Shards: 16}
--- a/parts/spread/doc.go
+++ b/parts/spread/doc.go
@@ -1,7 +1,7 @@
-// Package spread decides how published values with versions reach every host:
-// who reads the source, whom a host exchanges versions with, what it fetches,
-// and whether it has reason to believe that what it holds is current.
+// Package spread distributes published, versioned values to every host: it
+// decides which hosts read the source, with which peers a host exchanges
+// versions, what it fetches, and whether its values are confirmed as current.
 //
-// It sends nothing by itself. The embedding program feeds a Core with what it
-// hears and the time, and carries out the Work that comes back.
+// It sends nothing itself. The embedding program passes received messages and
+// the time to a Core and carries out the Work that the Core returns.
 package spread
--- a/parts/spread/example_test.go
+++ b/parts/spread/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/foxtailhook/foxtailhook/parts/spread"
 )
 
-// One host of a fleet has version 8 of the keys, another still version 7. A
-// digest of a few bytes tells the second, which fetches what changed.
+// One host of a fleet has version 8 of the keys list, another still version 7.
+// The second learns of the newer version from a digest and fetches the changes.
 func Example() {
 	now := time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 	hosts := []spread.Host{
@@ -20,7 +20,7 @@
 	core := spread.New(spread.Config{Host: "lookup-2", Zone: "b", Watch: 30 * time.Second}, rand.New(rand.NewPCG(1, 1)), now)
 	core.SetHosts(hosts)
 	old := spread.Value{Kind: spread.KindKeys, Version: 7, Raw: []byte(`{"keys":["one","two","three","four"]}`)}
-	core.Accepted(old.Kind, old.Version, now, nobody)
+	core.Accepted(old.Kind, old.Version, now, skipNone)
 
 	digest := spread.Digest{Host: "lookup-1", Ready: true, Age: -1}
 	digest.Versions[spread.KindKeys] = 8
@@ -41,5 +41,5 @@
 	// {"keys":["one","three","four"]} <nil>
 }
 
-// nobody is left out of exchanges.
-func nobody(string) bool { return false }
+// skipNone leaves no host out of exchanges.
+func skipNone(string) bool { return false }
--- a/parts/spread/spread.go
+++ b/parts/spread/spread.go
@@ -9,29 +9,31 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/spread"
 )
 
-// Core decides for one host; it belongs to one goroutine.
+// Core makes the decisions of one host; it must be used by one goroutine at a
+// time.
 //
-// SetHosts tells it the fleet, Accepted and Rejected what became of a value.
-// Hear and Answer take digests, Tick looks at the clock; all return Work.
-// Standing tells whether what the host holds was confirmed.
+// SetHosts sets the hosts of the fleet; Accepted and Rejected record whether the
+// program put a fetched value in force. Hear and Answer apply digests, Tick
+// handles what is due at the time. Accepted, Hear, Answer and Tick return Work.
+// Standing says whether the host's values were confirmed as current.
 type Core = spread.Core
 
-// Config is what a core is told at its start.
+// Config is the configuration of a core.
 type Config = spread.Config
 
-// Digest is what a host tells another of its versions.
+// Digest is what a host reports to a peer about itself and its versions.
 type Digest = spread.Digest
 
-// News is a host's own word on whether it is leaving, passed on by others.
+// News is a host's own statement on whether it is leaving, passed on by other hosts.
 type News = member.News
 
-// Work is what the program is to carry out.
+// Work is what the embedding program has to carry out.
 type Work = spread.Work
 
-// Read tells what to read at the source of the values.
+// Read says what to read from the source of the values.
 type Read = spread.Read
 
-// What Work asks to read: nothing, the hosts list alone, or every value.
+// The reads: nothing, the host list alone, or every value.
 const (
 	ReadNothing = spread.ReadNothing
 	ReadHosts   = spread.ReadHosts
@@ -41,24 +43,25 @@
 // Source is a peer that has a newer version of a value.
 type Source = spread.Source
 
-// Archive keeps values and their last changes; it belongs to one goroutine.
+// Archive keeps the values in force and the most recent changes to them; it must
+// be used by one goroutine at a time.
 //
-// Store takes over a value, Packet makes what a peer with an older version needs.
+// Store adds a value, Packet returns what a peer with an older version needs.
 type Archive = spread.Archive
 
 // Fetch asks a peer for a value.
 type Fetch = spread.Fetch
 
-// Packet carries a value, whole or as changes to what the receiver has; Open returns it.
+// Packet carries a value, whole or as changes to the version that the receiver has; Open returns the value.
 type Packet = spread.Packet
 
-// Value is one version of one value.
+// Value is one published version of a value.
 type Value = lists.Value
 
-// Kind names one of the values.
+// Kind names one of the published values.
 type Kind = lists.Kind
 
-// The values, which the operators and the platform of foxtailhook publish.
+// The published values: the plans, uses, keys and hosts lists of foxtailhook.
 const (
 	KindPlans = lists.KindPlans
 	KindUses  = lists.KindUses
@@ -69,11 +72,12 @@
 // Host is one host of the fleet.
 type Host = lists.Host
 
-// Standing tells whether a host has reason to believe that what it holds is current.
+// Standing says whether a host has reason to believe that its values are current.
 type Standing = spread.Standing
 
-// The standings: still asking after the start; confirmed; paused and not asked
-// since; without an answer from anyone for a long time.
+// The standings: not yet confirmed since the start; confirmed; not yet confirmed
+// since a pause of the process; without any answer for longer than
+// Config.IsolationTime.
 const (
 	Starting = spread.Starting
 	Serving  = spread.Serving
@@ -81,8 +85,8 @@
 	Isolated = spread.Isolated
 )
 
-// New returns a core that starts at the given time and knows nothing; chance spreads hosts that start together.
-func New(c Config, chance *rand.Rand, now time.Time) *Core { return spread.New(c, chance, now) }
+// New returns a core without data that starts at the given time; rng keeps hosts that start together from acting in step.
+func New(c Config, rng *rand.Rand, now time.Time) *Core { return spread.New(c, rng, now) }
 
-// Ranked returns an availability zone's hosts in the order in which they read the source.
+// Ranked returns an availability zone's hosts that aren't leaving, in the order in which they become readers of the source.
 func Ranked(hosts []Host, zone string) []Host { return spread.Ranked(hosts, zone) }
