--- a/doc.go
+++ b/doc.go
@@ -1,9 +1,9 @@
-// Package foxtailhook embeds the overload control layer: a daemon beside one
-// upstream that admits, queues, places and refuses its requests.
+// Package foxtailhook embeds the overload control layer: a daemon on the host
+// of one upstream, which admits, queues, forwards and refuses requests.
 //
-// New takes options, Run serves until its context ends. The coordination parts
-// work without the daemon too, each in a package of its own below parts.
+// New takes options, Run serves until its context is done. The coordination
+// algorithms can be used without the daemon; each is a package below parts.
 //
-// Letter 1 asks for a library that others can embed, which goes before the
-// house rule that packages live under internal/.
+// This package and parts lie outside internal/, the house rule for all other
+// packages, since other modules must be able to import them.
 package foxtailhook
--- a/example_test.go
+++ b/example_test.go
@@ -13,15 +13,15 @@
 	"github.com/foxtailhook/foxtailhook/internal/proof/loopback"
 )
 
-// quiet drops the log.
-func quiet() *logrus.Logger {
+// discardLogger returns a logger without output.
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// A program runs the daemon beside the upstream that it serves itself, and
-// drains it when its own context ends.
+// A program runs the daemon in front of its own upstream; the daemon drains
+// when the context is done.
 func ExampleDaemon_Run() {
 	settings := foxtailhook.DefaultSettings()
 	settings.LeaveTime = 0
@@ -31,7 +31,7 @@
 		foxtailhook.WithListeners(loopback.Address(), loopback.Address(), loopback.Address()),
 		foxtailhook.WithUpstream(netip.MustParseAddrPort("127.0.0.1:8000"), 35),
 		foxtailhook.WithPlatform(netip.MustParseAddrPort("127.0.0.1:9000")),
-		foxtailhook.WithLogger(quiet()),
+		foxtailhook.WithLogger(discardLogger()),
 	)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -39,12 +39,12 @@
 	// Output: ended with: <nil>
 }
 
-// Settings with faults keep the daemon from starting, and every fault is told.
+// Invalid settings keep the daemon from starting; the error lists every fault.
 func ExampleDaemon_Run_faults() {
 	daemon := foxtailhook.New(
 		foxtailhook.WithHost("lookup-1", "lookup", ""),
 		foxtailhook.WithUpstream(netip.MustParseAddrPort("127.0.0.1:8000"), 0),
-		foxtailhook.WithLogger(quiet()),
+		foxtailhook.WithLogger(discardLogger()),
 	)
 	fmt.Println(daemon.Run(context.Background()))
 	// Output:
@@ -52,7 +52,8 @@
 	// -zone must be given, without blanks, quotes or slashes
 }
 
-// A program of its own reads the flags and variables of cmd/foxtailhook.
+// An embedding program reads the same flags and environment variables as
+// cmd/foxtailhook.
 func ExampleParseSettings() {
 	settings, err := foxtailhook.ParseSettings([]string{"-host", "lookup-1", "-service", "lookup", "-zone", "a", "-slots", "35"}, io.Discard)
 	fmt.Println(settings.Slots, settings.DefaultTimeout, err)
--- a/foxtailhook.go
+++ b/foxtailhook.go
@@ -10,13 +10,13 @@
 	"github.com/foxtailhook/foxtailhook/internal/app/telemetry"
 )
 
-// Daemon is one process's share of the overload control layer.
+// Daemon is the overload control layer on one host.
 type Daemon struct {
 	settings Settings
 	log      *logrus.Logger
 }
 
-// New returns a daemon with the defaults of cmd/foxtailhook, changed by the options.
+// New returns a daemon with the default settings of cmd/foxtailhook and the options applied.
 func New(opts ...Option) *Daemon {
 	d := &Daemon{settings: DefaultSettings()}
 	for _, opt := range opts {
@@ -28,8 +28,8 @@
 	return d
 }
 
-// Run serves until ctx ends and then drains; the error is Problems with every
-// fault of the settings, or tells why a listener failed.
+// Run serves until ctx is done and then drains; the error is Problems with
+// every fault of the settings, or says why a listener failed.
 func (d *Daemon) Run(ctx context.Context) error {
 	if err := d.settings.Check(); err != nil {
 		return err
--- a/foxtailhook_test.go
+++ b/foxtailhook_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRunChecksItsOptions(t *testing.T) {
-	Convey("A daemon without a host, service or zone says so and does not start", t, func() {
+	Convey("Run without host, service and availability zone returns an error that names their flags", t, func() {
 		err := New().Run(t.Context())
 		So(err, ShouldNotBeNil)
 		for _, flag := range []string{"-host", "-service", "-zone"} {
