--- a/internal/ctl/check/check_test.go
+++ b/internal/ctl/check/check_test.go
@@ -26,7 +26,7 @@
 {"host":"g","service":"gone","zone":"a","peer":"127.0.0.1:7002","leaving":true}]}`
 )
 
-func files(plans, uses, keys, hosts string) *draft.Draft {
+func newDraft(plans, uses, keys, hosts string) *draft.Draft {
 	var all [lists.Kinds]draft.File
 	for k, raw := range []string{plans, uses, keys, hosts} {
 		if raw != "" {
@@ -45,10 +45,10 @@
 }
 
 func TestLists(t *testing.T) {
-	// Each list is sound by itself, so every daemon takes it, and an
-	// organisation finds out from its refusals that the two don't fit.
-	Convey("Entries that another list contradicts are warned of, with their lines", t, func() {
-		found := Lists(files(plans, uses, keys, hosts))
+	// Each list is valid by itself, so every daemon accepts it, and only an
+	// organisation's refused requests show that two lists contradict each other.
+	Convey("Entries that another list contradicts give warnings with their lines", t, func() {
+		found := Lists(newDraft(plans, uses, keys, hosts))
 		So(texts(found), ShouldResemble, []string{
 			`plans:3: warning: organisations[1].plan: uses names no plan "lost": every request of "maker" would be refused`,
 			`uses:6: warning: plans[1].plan: no organisation has the plan "spare"`,
@@ -59,34 +59,34 @@
 		})
 		So(found.Faulty(), ShouldBeFalse)
 	})
-	Convey("The faults of all lists are told in one go, and a list with faults is compared with none", t, func() {
-		found := Lists(files(`{"organisations":[{"organisation":"a","plan":"p","rate":-1,"burst":0}]}`, "{\n]", keys, hosts))
+	Convey("The faults of all lists are reported together, and a list with faults is not compared with others", t, func() {
+		found := Lists(newDraft(`{"organisations":[{"organisation":"a","plan":"p","rate":-1,"burst":0}]}`, "{\n]", keys, hosts))
 		So(texts(found), ShouldHaveLength, 3)
 		So(found.Faulty(), ShouldBeTrue)
 	})
 }
 
 func TestSettings(t *testing.T) {
-	sound := "# the daemon\nFOXTAILHOOK_HOST=h\nFOXTAILHOOK_SERVICE=\"s\"\nFOXTAILHOOK_ZONE=z\nPATH=/bin\n"
+	valid := "# the daemon\nFOXTAILHOOK_HOST=h\nFOXTAILHOOK_SERVICE=\"s\"\nFOXTAILHOOK_ZONE=z\nPATH=/bin\n"
 	cases := []struct {
 		name  string
 		env   string
 		args  []string
 		found []string
 	}{
-		{"sound", sound, nil, nil},
-		{"fault on its line", sound + "FOXTAILHOOK_SLOTS=0\n", nil, []string{"env:6: fault: -slots: 0 is not from 1 to 100000"}},
-		{"the command line goes first", sound + "FOXTAILHOOK_SLOTS=0\n", []string{"-slots", "5"}, nil},
-		{"slip in a name", sound + "FOXTAILHOOK_SLOT=4\n", nil, []string{"env:6: fault: FOXTAILHOOK_SLOT: is no setting of the daemon"}},
-		{"set twice", sound + "FOXTAILHOOK_ZONE=y\n", nil, []string{"env:6: fault: FOXTAILHOOK_ZONE: is set on line 4 too"}},
-		{"not a pair", sound + "export\n", nil, []string{"env:6: fault: export: is not NAME=VALUE"}},
+		{"valid", valid, nil, nil},
+		{"fault on its line", valid + "FOXTAILHOOK_SLOTS=0\n", nil, []string{"env:6: fault: -slots: 0 is not from 1 to 100000"}},
+		{"the command line takes precedence", valid + "FOXTAILHOOK_SLOTS=0\n", []string{"-slots", "5"}, nil},
+		{"misspelt name", valid + "FOXTAILHOOK_SLOT=4\n", nil, []string{"env:6: fault: FOXTAILHOOK_SLOT: is no setting of the daemon"}},
+		{"set twice", valid + "FOXTAILHOOK_ZONE=y\n", nil, []string{"env:6: fault: FOXTAILHOOK_ZONE: is set on line 4 too"}},
+		{"not a pair", valid + "export\n", nil, []string{"env:6: fault: export: is not NAME=VALUE"}},
 		{"nothing given", "", []string{"-host", "h", "-watch", "soon"}, []string{
 			`settings: fault: -watch: "soon" is not a duration from 100ms to 5m0s`,
 			"settings: fault: -service: must be given, without blanks, quotes or slashes",
 			"settings: fault: -zone: must be given, without blanks, quotes or slashes",
 		}},
 	}
-	Convey("Every fault of the settings is told with its line or flag", t, func() {
+	Convey("Every fault of the settings is reported with its line or flag", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				So(texts(Settings("env", []byte(c.env), c.args)), ShouldResemble, c.found)
--- a/internal/ctl/check/doc.go
+++ b/internal/ctl/check/doc.go
@@ -1,2 +1,2 @@
-// Package check finds every fault of the lists and the settings before they reach the fleet.
+// Package check finds every fault of lists and settings before they are published or deployed.
 package check
--- a/internal/ctl/check/lists.go
+++ b/internal/ctl/check/lists.go
@@ -7,12 +7,12 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// Lists returns the faults of each list and, where both sides are sound, the warnings of one list against another.
+// Lists returns the faults of each list and, for each two valid lists, warnings where one contradicts the other.
 func Lists(d *draft.Draft) Findings {
 	var found Findings
 	for k, faults := range d.Faults {
 		for _, fault := range faults {
-			found = append(found, finding(d, lists.Kind(k), Fault, fault.Place, fault.Text))
+			found = append(found, newFinding(d, lists.Kind(k), Fault, fault.Place, fault.Text))
 		}
 	}
 	c := &crossCheck{draft: d, found: found}
@@ -22,21 +22,21 @@
 	return c.found
 }
 
-func finding(d *draft.Draft, k lists.Kind, s Severity, place, text string) Finding {
+func newFinding(d *draft.Draft, k lists.Kind, s Severity, place, text string) Finding {
 	file := d.Files[k]
 	return Finding{Severity: s, File: file.Name, Line: draft.Line(file.Raw, place), Place: place, Text: text}
 }
 
-// crossCheck looks for entries that another list contradicts. Each list is
-// accepted by itself, so that a daemon takes a plan before what it may use;
-// here the operator still has all of them at hand.
+// crossCheck finds entries that another list contradicts. Daemons accept each
+// list by itself, since lists arrive in any order: plans, say, before the uses
+// that grant operations to them. Before publication all lists are available.
 type crossCheck struct {
 	draft *draft.Draft
 	found Findings
 }
 
 func (c *crossCheck) warn(k lists.Kind, place, format string, args ...any) {
-	c.found = append(c.found, finding(c.draft, k, Warning, place, fmt.Sprintf(format, args...)))
+	c.found = append(c.found, newFinding(c.draft, k, Warning, place, fmt.Sprintf(format, args...)))
 }
 
 func (c *crossCheck) plansAgainstUses() {
@@ -44,19 +44,19 @@
 	if plans == nil || uses == nil {
 		return
 	}
-	granted := map[string]bool{}
+	grantedPlans := map[string]bool{}
 	for _, g := range uses.Plans {
-		granted[g.Plan] = true
+		grantedPlans[g.Plan] = true
 	}
-	held := map[string]bool{}
+	usedPlans := map[string]bool{}
 	for i, o := range plans.Organisations {
-		held[o.Plan] = true
-		if !granted[o.Plan] {
+		usedPlans[o.Plan] = true
+		if !grantedPlans[o.Plan] {
 			c.warn(lists.KindPlans, fmt.Sprintf("organisations[%d].plan", i), "uses names no plan %q: every request of %q would be refused", o.Plan, o.Organisation)
 		}
 	}
 	for i, g := range uses.Plans {
-		if !held[g.Plan] {
+		if !usedPlans[g.Plan] {
 			c.warn(lists.KindUses, fmt.Sprintf("plans[%d].plan", i), "no organisation has the plan %q", g.Plan)
 		}
 	}
@@ -71,15 +71,15 @@
 	for _, o := range plans.Organisations {
 		known[o.Organisation] = true
 	}
-	holders := map[string]bool{}
+	withKey := map[string]bool{}
 	for i, k := range keys.Keys {
-		holders[k.Organisation] = true
+		withKey[k.Organisation] = true
 		if !known[k.Organisation] {
 			c.warn(lists.KindKeys, fmt.Sprintf("keys[%d].organisation", i), "plans names no organisation %q: requests with key %q would be refused", k.Organisation, k.ID)
 		}
 	}
 	for i, o := range plans.Organisations {
-		if !holders[o.Organisation] {
+		if !withKey[o.Organisation] {
 			c.warn(lists.KindPlans, fmt.Sprintf("organisations[%d].organisation", i), "%q has no key and can send nothing", o.Organisation)
 		}
 	}
@@ -90,24 +90,24 @@
 	if uses == nil {
 		return
 	}
-	c.operationsInPlans(uses)
+	c.operationsWithoutPlan(uses)
 	if hosts == nil {
 		return
 	}
-	live := map[string]int{}
+	liveHosts := map[string]int{}
 	for _, h := range hosts.Hosts {
 		if !h.Leaving {
-			live[h.Service]++
+			liveHosts[h.Service]++
 		}
 	}
 	for i, o := range uses.Operations {
-		if live[o.Service] == 0 {
+		if liveHosts[o.Service] == 0 {
 			c.warn(lists.KindUses, fmt.Sprintf("operations[%d].service", i), "no live host serves %q", o.Service)
 		}
 	}
 }
 
-func (c *crossCheck) operationsInPlans(uses *lists.Uses) {
+func (c *crossCheck) operationsWithoutPlan(uses *lists.Uses) {
 	granted := map[string]bool{}
 	for _, g := range uses.Plans {
 		for _, name := range g.Operations {
--- a/internal/ctl/command/check.go
+++ b/internal/ctl/command/check.go
@@ -14,7 +14,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// listFlags are where a command finds lists.
+// listFlags are the flags that name the files of lists.
 type listFlags struct {
 	dir   string
 	paths draft.Paths
@@ -28,11 +28,11 @@
 	}
 }
 
-func (l *listFlags) read() ([lists.Kinds]draft.File, error) {
-	return draft.Read(l.paths.In(l.dir))
+func (l *listFlags) readFiles() ([lists.Kinds]draft.File, error) {
+	return draft.Read(l.paths.FillFrom(l.dir))
 }
 
-func count(files [lists.Kinds]draft.File) int {
+func countFiles(files [lists.Kinds]draft.File) int {
 	n := 0
 	for _, f := range files {
 		if f.Name != "" {
@@ -57,11 +57,11 @@
 			"Warnings are entries that daemons accept and that another list contradicts, such as a key of an unknown organisation.\n" +
 			"Arguments behind -- are taken as the daemon's own flags.\n\n" + exitCodes,
 		Exec: func(_ context.Context, args []string) error {
-			files, err := from.read()
+			files, err := from.readFiles()
 			if err != nil {
 				return err
 			}
-			if count(files) == 0 && *env == "" && len(args) == 0 {
+			if countFiles(files) == 0 && *env == "" && len(args) == 0 {
 				return usagef("nothing to check: name -lists, a list, -env or daemon flags behind --")
 			}
 			found := check.Lists(draft.Parse(files))
@@ -69,7 +69,7 @@
 			if err != nil {
 				return err
 			}
-			return a.findings(append(found, settings...), *strict, *asJSON)
+			return a.printFindings(append(found, settings...), *strict, *asJSON)
 		},
 	}
 }
@@ -89,12 +89,12 @@
 	return check.Settings(env, raw, args), nil
 }
 
-func (a *app) findings(found check.Findings, strict, asJSON bool) error {
+func (a *app) printFindings(found check.Findings, strict, asJSON bool) error {
 	if asJSON {
 		if found == nil {
 			found = check.Findings{}
 		}
-		if err := a.asJSON(found); err != nil {
+		if err := a.printJSON(found); err != nil {
 			return err
 		}
 	} else {
@@ -102,5 +102,5 @@
 			fmt.Fprintln(a.Out, f)
 		}
 	}
-	return verdict(found.Faulty() || strict && len(found) > 0)
+	return foundError(found.Faulty() || strict && len(found) > 0)
 }
--- a/internal/ctl/command/command_test.go
+++ b/internal/ctl/command/command_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// cmdEnds runs the rest of its line and expects the exit code that comes first.
+// cmdEnds is ends CODE COMMAND...: run the command and expect the exit code.
 func cmdEnds(ts *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[0])
 	ts.Check(err)
@@ -43,14 +43,14 @@
 	}
 }
 
-// cmdBig writes a file of 2 MB, twice what the platform holds.
+// cmdBig is big FILE: write a file of 2 MB, twice the maximum size of a list.
 func cmdBig(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Check(os.WriteFile(ts.MkAbs(args[0]), bytes.Repeat([]byte(" "), 2<<20), 0o644))
 }
 
 func TestHelp(t *testing.T) {
 	lines := []string{"", "check", "diff", "key", "key new", "key hash", "status", "explain", "reference"}
-	Convey("Every command describes itself with its exit codes, on standard output", t, func() {
+	Convey("The help of every command goes to standard output and has the exit codes", t, func() {
 		for _, line := range lines {
 			Convey("foxctl "+line, func() {
 				var out, errs bytes.Buffer
--- a/internal/ctl/command/diff.go
+++ b/internal/ctl/command/diff.go
@@ -14,8 +14,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// fetchTime bounds reading the lists in force.
-const fetchTime = 10 * time.Second
+// fetchTimeout limits the time to read the lists in force.
+const fetchTimeout = 10 * time.Second
 
 func (a *app) diffCommand() *ffcli.Command {
 	fs := a.flags("foxctl diff")
@@ -36,40 +36,40 @@
 			if len(args) > 0 {
 				return usagef("unexpected argument %q", args[0])
 			}
-			files, err := to.read()
+			files, err := to.readFiles()
 			if err != nil {
 				return err
 			}
-			if count(files) == 0 {
+			if countFiles(files) == 0 {
 				return usagef("nothing to compare: name -lists or a list")
 			}
-			inForce, err := inForce(ctx, *from, *platform)
+			inForce, err := readInForce(ctx, *from, *platform)
 			if err != nil {
 				return err
 			}
-			return a.changes(draft.Parse(inForce), draft.Parse(draft.Over(inForce, files)), *asJSON)
+			return a.printChanges(draft.Parse(inForce), draft.Parse(draft.Overlay(inForce, files)), *asJSON)
 		},
 	}
 }
 
-func inForce(ctx context.Context, dir, platform string) ([lists.Kinds]draft.File, error) {
+func readInForce(ctx context.Context, dir, platform string) ([lists.Kinds]draft.File, error) {
 	if (dir == "") == (platform == "") {
 		return [lists.Kinds]draft.File{}, usagef("name the lists in force by either -from or -platform")
 	}
 	if dir != "" {
-		return draft.Read(draft.Paths{}.In(dir))
+		return draft.Read(draft.Paths{}.FillFrom(dir))
 	}
 	address, err := netip.ParseAddrPort(platform)
 	if err != nil {
 		return [lists.Kinds]draft.File{}, usagef("-platform: %q is not an IP number with a port", platform)
 	}
-	ctx, cancel := context.WithTimeout(ctx, fetchTime)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	return draft.Fetch(ctx, address)
 }
 
-func (a *app) changes(before, after *draft.Draft, asJSON bool) error {
-	if !before.Sound() || !after.Sound() {
+func (a *app) printChanges(before, after *draft.Draft, asJSON bool) error {
+	if !before.Valid() || !after.Valid() {
 		for _, d := range []*draft.Draft{before, after} {
 			for _, f := range check.Lists(d) {
 				if f.Severity == check.Fault {
@@ -79,12 +79,12 @@
 		}
 		return errFound
 	}
-	all := diff.Of(before, after)
+	all := diff.Compare(before, after)
 	if asJSON {
 		if all == nil {
 			all = []diff.Change{}
 		}
-		return a.asJSON(all)
+		return a.printJSON(all)
 	}
 	last := ""
 	for _, c := range all {
--- a/internal/ctl/command/doc.go
+++ b/internal/ctl/command/doc.go
@@ -1,2 +1,2 @@
-// Package command is the command line of foxctl; it can be run without a process.
+// Package command is the command line of foxctl; tests can run it within their own process.
 package command
--- a/internal/ctl/command/explain.go
+++ b/internal/ctl/command/explain.go
@@ -29,22 +29,22 @@
 			"Lines that are no JSON are passed over and counted.\n\n" + exitCodes,
 		Exec: func(_ context.Context, args []string) error {
 			var err error
-			if filter.Since, err = moment("-since", *since); err != nil {
+			if filter.Since, err = parseTime("-since", *since); err != nil {
 				return err
 			}
-			if filter.Until, err = moment("-until", *until); err != nil {
+			if filter.Until, err = parseTime("-until", *until); err != nil {
 				return err
 			}
-			found, err := a.search(args, filter)
+			found, err := a.readLogs(args, filter)
 			if err != nil {
 				return err
 			}
-			return a.decisions(found, *asJSON)
+			return a.printDecisions(found, *asJSON)
 		},
 	}
 }
 
-func moment(name, raw string) (time.Time, error) {
+func parseTime(name, raw string) (time.Time, error) {
 	if raw == "" {
 		return time.Time{}, nil
 	}
@@ -55,7 +55,7 @@
 	return t, nil
 }
 
-func (a *app) search(files []string, filter explain.Filter) (*explain.Found, error) {
+func (a *app) readLogs(files []string, filter explain.Filter) (*explain.Found, error) {
 	found := &explain.Found{Entries: []explain.Entry{}}
 	if len(files) == 0 {
 		return found, found.Add(a.In, filter)
@@ -77,12 +77,12 @@
 	return errors.Wrap(found.Add(log, filter), name)
 }
 
-func (a *app) decisions(found *explain.Found, asJSON bool) error {
+func (a *app) printDecisions(found *explain.Found, asJSON bool) error {
 	if asJSON {
-		if err := a.asJSON(found); err != nil {
+		if err := a.printJSON(found); err != nil {
 			return err
 		}
-		return verdict(len(found.Entries) == 0)
+		return foundError(len(found.Entries) == 0)
 	}
 	for _, e := range found.Entries {
 		fmt.Fprintf(a.Out, "%s  %s  %s\n", e.Time.Format(time.RFC3339Nano), e.RequestID, e.Sentence())
@@ -93,5 +93,5 @@
 	if len(found.Entries) == 0 {
 		fmt.Fprintln(a.Err, "foxctl: no decision matches")
 	}
-	return verdict(len(found.Entries) == 0)
+	return foundError(len(found.Entries) == 0)
 }
--- a/internal/ctl/command/key.go
+++ b/internal/ctl/command/key.go
@@ -21,11 +21,11 @@
 		ShortHelp:   "Makes organisation keys and their list entries.",
 		LongHelp:    "new makes a key; hash makes the entry of one that an organisation already has.\n\n" + exitCodes,
 		Subcommands: []*ffcli.Command{a.keyNewCommand(), a.keyHashCommand()},
-		Exec:        noCommand("foxctl key"),
+		Exec:        requireSubcommand("foxctl key"),
 	}
 }
 
-// keyFlags name the entry of a key.
+// keyFlags are the flags that name a key's entry.
 type keyFlags struct {
 	organisation string
 	id           string
@@ -67,10 +67,10 @@
 				return usagef("%v", err)
 			}
 			if k.asJSON {
-				return a.asJSON(pair)
+				return a.printJSON(pair)
 			}
 			fmt.Fprintf(a.Out, "key for %s, shown only now:\n%s\n\nentry for the keys list:\n", k.organisation, pair.Key)
-			return a.entry(pair)
+			return a.printEntry(pair)
 		},
 	}
 }
@@ -93,19 +93,19 @@
 			if err != nil && line == "" {
 				return errors.Wrap(err, "read key")
 			}
-			pair, err := key.Of(strings.TrimRight(line, "\r\n"), k.organisation, k.id)
+			pair, err := key.Existing(strings.TrimRight(line, "\r\n"), k.organisation, k.id)
 			if err != nil {
 				return usagef("%v", err)
 			}
 			if k.asJSON {
-				return a.asJSON(pair.Entry)
+				return a.printJSON(pair.Entry)
 			}
-			return a.entry(pair)
+			return a.printEntry(pair)
 		},
 	}
 }
 
-// entry prints the entry on one line, as it is pasted into the list.
-func (a *app) entry(pair key.Pair) error {
+// printEntry prints the entry on one line, ready to be pasted into the list.
+func (a *app) printEntry(pair key.Pair) error {
 	return json.NewEncoder(a.Out).Encode(pair.Entry)
 }
--- a/internal/ctl/command/root.go
+++ b/internal/ctl/command/root.go
@@ -14,13 +14,13 @@
 
 // Exit codes of every command.
 const (
-	// ExitDone means that the command did what it was asked and found nothing amiss.
+	// ExitDone means that the command succeeded and found nothing wrong.
 	ExitDone = 0
-	// ExitFailed means that it could not do it: a file can't be read, nobody answers.
+	// ExitFailed means that the command failed: a file can't be read, or an address doesn't answer.
 	ExitFailed = 1
-	// ExitUsage means that the command line has a fault.
+	// ExitUsage means that the command line is invalid.
 	ExitUsage = 2
-	// ExitFound means that it did its work and found something: a fault, a concern, or no decision that matches.
+	// ExitFound means that the command succeeded and found a fault or a concern, or no decision that matches.
 	ExitFound = 3
 )
 
@@ -30,17 +30,17 @@
   2  the command line has a fault
   3  done, and something was found: faults, concerns, or no decision that matches`
 
-// Streams are where a command reads and writes.
+// Streams are the standard streams of a command.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
 }
 
-// errFound ends a command with ExitFound; what was found is printed by then.
+// errFound makes a command exit with ExitFound; the findings have been printed already.
 var errFound = errors.New("found")
 
-// usageError ends a command with ExitUsage.
+// usageError makes a command exit with ExitUsage.
 type usageError struct{ text string }
 
 // Error returns what is wrong with the command line.
@@ -48,14 +48,14 @@
 
 func usagef(format string, args ...any) error { return usageError{text: fmt.Sprintf(format, args...)} }
 
-// app is one run of the tool.
+// app is one run of foxctl.
 type app struct {
 	Streams
-	// help collects what the flag package says, which goes out only when it was asked for.
-	help bytes.Buffer
+	// flagOutput collects the output of the flag package; it is printed only if help was requested.
+	flagOutput bytes.Buffer
 }
 
-// Run runs one command line, without the program's name, and returns the exit code.
+// Run runs a command line, which doesn't include the program's name, and returns the exit code.
 func Run(ctx context.Context, args []string, s Streams) int {
 	a := &app{Streams: s}
 	root := &ffcli.Command{
@@ -67,22 +67,22 @@
 		Subcommands: []*ffcli.Command{
 			a.checkCommand(), a.diffCommand(), a.keyCommand(), a.statusCommand(), a.explainCommand(), a.referenceCommand(),
 		},
-		Exec: noCommand("foxctl"),
+		Exec: requireSubcommand("foxctl"),
 	}
 	if err := root.Parse(args); err != nil {
-		return a.unparsed(err)
+		return a.parseErrorCode(err)
 	}
-	return a.code(root.Run(ctx))
+	return a.exitCode(root.Run(ctx))
 }
 
-// flags returns a flag set whose messages are kept for the end.
+// flags returns a flag set that writes its messages to flagOutput.
 func (a *app) flags(name string) *flag.FlagSet {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
-	fs.SetOutput(&a.help)
+	fs.SetOutput(&a.flagOutput)
 	return fs
 }
 
-func noCommand(name string) func(context.Context, []string) error {
+func requireSubcommand(name string) func(context.Context, []string) error {
 	return func(_ context.Context, args []string) error {
 		if len(args) > 0 {
 			return usagef("no command is called %q; %s -h lists them", args[0], name)
@@ -91,20 +91,20 @@
 	}
 }
 
-func (a *app) unparsed(err error) int {
+func (a *app) parseErrorCode(err error) int {
 	if errors.Is(err, flag.ErrHelp) {
-		return a.code(err)
+		return a.exitCode(err)
 	}
-	return a.code(usagef("%v", err))
+	return a.exitCode(usagef("%v", err))
 }
 
-func (a *app) code(err error) int {
+func (a *app) exitCode(err error) int {
 	var usage usageError
 	switch {
 	case err == nil:
 		return ExitDone
 	case errors.Is(err, flag.ErrHelp):
-		_, _ = a.help.WriteTo(a.Out)
+		_, _ = a.flagOutput.WriteTo(a.Out)
 		return ExitDone
 	case errors.Is(err, errFound):
 		return ExitFound
@@ -117,16 +117,16 @@
 	}
 }
 
-// asJSON prints a value as indented JSON.
-func (a *app) asJSON(value any) error {
+// printJSON prints a value as indented JSON.
+func (a *app) printJSON(value any) error {
 	enc := json.NewEncoder(a.Out)
 	enc.SetIndent("", "  ")
 	enc.SetEscapeHTML(false)
 	return enc.Encode(value)
 }
 
-// verdict ends with ExitFound if something was found.
-func verdict(found bool) error {
+// foundError returns errFound if something was found.
+func foundError(found bool) error {
 	if found {
 		return errFound
 	}
--- a/internal/ctl/command/status.go
+++ b/internal/ctl/command/status.go
@@ -15,11 +15,11 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-const statusTime = 2 * time.Second
+const defaultStatusTimeout = 2 * time.Second
 
 func (a *app) statusCommand() *ffcli.Command {
 	fs := a.flags("foxctl status")
-	timeout := fs.Duration("timeout", statusTime, "longest wait for one daemon")
+	timeout := fs.Duration("timeout", defaultStatusTimeout, "longest wait for one daemon")
 	asJSON := fs.Bool("json", false, "print one JSON object with hosts and concerns")
 	return &ffcli.Command{
 		Name: "status", FlagSet: fs,
@@ -29,40 +29,40 @@
 			"daemons that don't answer, aren't ready or are isolated, that can't reach others or lend no tokens of the rates, rejected lists,\n" +
 			"and versions that differ over hosts. A - in place of addresses reads them from standard input, separated by blanks.\n\n" + exitCodes,
 		Exec: func(ctx context.Context, args []string) error {
-			args, err := a.named(args)
+			args, err := a.addressArgs(args)
 			if err != nil {
 				return err
 			}
-			operators, err := addresses(args)
+			operators, err := parseAddresses(args)
 			if err != nil {
 				return err
 			}
 			fleet := status.New(status.Fetch(ctx, operators, *timeout))
 			if *asJSON {
-				if err := a.asJSON(fleet); err != nil {
+				if err := a.printJSON(fleet); err != nil {
 					return err
 				}
 			} else {
-				a.fleet(fleet)
+				a.printFleet(fleet)
 			}
-			return verdict(len(fleet.Concerns) > 0)
+			return foundError(len(fleet.Concerns) > 0)
 		},
 	}
 }
 
-// maxNamed bounds what is read of standard input, in bytes: thousands of addresses.
-const maxNamed = 1 << 20
+// maxStdinBytes limits what is read of standard input; it is enough for thousands of addresses.
+const maxStdinBytes = 1 << 20
 
-// named returns the arguments, or the words of standard input where - stands for them.
-func (a *app) named(args []string) ([]string, error) {
+// addressArgs returns the arguments, or the words of standard input if the only argument is -.
+func (a *app) addressArgs(args []string) ([]string, error) {
 	if len(args) != 1 || args[0] != "-" {
 		return args, nil
 	}
-	raw, err := io.ReadAll(io.LimitReader(a.In, maxNamed))
+	raw, err := io.ReadAll(io.LimitReader(a.In, maxStdinBytes))
 	return strings.Fields(string(raw)), err
 }
 
-func addresses(args []string) ([]netip.AddrPort, error) {
+func parseAddresses(args []string) ([]netip.AddrPort, error) {
 	if len(args) == 0 {
 		return nil, usagef("name the operators' address of at least one daemon, IP:port")
 	}
@@ -77,7 +77,7 @@
 	return all, nil
 }
 
-func (a *app) fleet(f status.Fleet) {
+func (a *app) printFleet(f status.Fleet) {
 	table := tabwriter.NewWriter(a.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(table, "HOST\tSERVICE\tZONE\tSTATE\tREADER\tIN FLIGHT\tSHARDS")
 	for k := range lists.Kinds {
--- a/internal/ctl/diff/change.go
+++ b/internal/ctl/diff/change.go
@@ -7,7 +7,7 @@
 
 //go:generate stringer -type=Kind -linecomment
 
-// Kind names what a change is about.
+// Kind is the kind of a change.
 type Kind uint8
 
 const (
@@ -15,44 +15,44 @@
 	Joins Kind = iota // joins
 	// Leaves means that the organisation is no longer on the list of plans.
 	Leaves // leaves
-	// Plan means that the organisation's plan is another.
+	// Plan means that the organisation has another plan.
 	Plan // plan
-	// Rate means that its requests per second differ.
+	// Rate means that its rate, in requests per second, changes.
 	Rate // rate
-	// Burst means that its whole requests at once differ.
+	// Burst means that its burst, in requests, changes.
 	Burst // burst
-	// Weight means that its share under overload differs.
+	// Weight means that its weight, which sets its share under overload, changes.
 	Weight // weight
-	// Gains means that it may use an operation it could not.
+	// Gains means that it may use a further operation.
 	Gains // gains
 	// Loses means that it may no longer use an operation.
 	Loses // loses
-	// Given means that a key of it begins to work.
-	Given // keyGiven
-	// Withdrawn means that a key of it stops working.
-	Withdrawn // keyWithdrawn
-	// Priority means that an operation is shed earlier or later.
+	// KeyGiven means that a new key of the organisation becomes valid.
+	KeyGiven // keyGiven
+	// KeyWithdrawn means that a key of the organisation becomes invalid.
+	KeyWithdrawn // keyWithdrawn
+	// Priority means that the priority of an operation changes: it is shed earlier or later.
 	Priority // priority
-	// Idempotent means that an operation may be repeated, or no longer.
+	// Idempotent means that an operation may be retried, or no longer.
 	Idempotent // idempotent
-	// Route means that an operation's service, method or path differs.
+	// Route means that the service, method or path of an operation changes.
 	Route // route
-	// Runs means that an operation's bound on upstream runs differs.
+	// Runs means that the maximum number of upstream runs for a request of an operation changes.
 	Runs // runs
 )
 
 // MarshalText returns the kind's name.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// Change is one effect on one organisation.
+// Change is one change for one organisation.
 type Change struct {
 	Organisation string `json:"organisation"`
 	Kind         Kind   `json:"kind"`
-	// Subject is the operation or the key's id, where the change is about one.
+	// Subject is the operation or the key's id, if the change concerns one.
 	Subject string `json:"subject,omitempty"`
 	Before  string `json:"before,omitempty"`
 	After   string `json:"after,omitempty"`
-	// Note says what callers will notice, where the values alone don't.
+	// Note describes the effect on callers, if the values alone don't show it.
 	Note string `json:"note,omitempty"`
 }
 
--- a/internal/ctl/diff/diff.go
+++ b/internal/ctl/diff/diff.go
@@ -11,31 +11,31 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// Of returns the changes from one set of lists to another, sorted by
+// Compare returns the changes from one set of lists to another, sorted by
 // organisation; a list that is missing counts as empty.
-func Of(before, after *draft.Draft) []Change {
-	b, a := newSide(before), newSide(after)
+func Compare(before, after *draft.Draft) []Change {
+	beforeIndex, afterIndex := newListIndex(before), newListIndex(after)
 	var all []Change
-	for _, name := range names(b, a) {
-		p := &pair{name: name, before: b, after: a}
-		p.membership()
-		p.keys()
-		p.operations()
-		all = append(all, p.changes...)
+	for _, name := range organisationNames(beforeIndex, afterIndex) {
+		c := &comparison{name: name, before: beforeIndex, after: afterIndex}
+		c.compareMembership()
+		c.compareKeys()
+		c.compareOperations()
+		all = append(all, c.changes...)
 	}
 	return all
 }
 
-// side is one set of lists, joined for look-ups by organisation.
-type side struct {
+// listIndex indexes one set of lists by organisation.
+type listIndex struct {
 	organisations map[string]lists.Organisation
 	operations    map[string]lists.Operation
 	grants        map[string][]string
 	keys          map[string]map[string]lists.Key
 }
 
-func newSide(d *draft.Draft) *side {
-	s := &side{
+func newListIndex(d *draft.Draft) *listIndex {
+	index := &listIndex{
 		organisations: map[string]lists.Organisation{},
 		operations:    map[string]lists.Operation{},
 		grants:        map[string][]string{},
@@ -44,91 +44,91 @@
 	if d.Plans != nil {
 		for _, o := range d.Plans.Organisations {
 			o.Weight = max(o.Weight, 1)
-			s.organisations[o.Organisation] = o
+			index.organisations[o.Organisation] = o
 		}
 	}
 	if d.Uses != nil {
 		for _, o := range d.Uses.Operations {
-			s.operations[o.Operation] = o
+			index.operations[o.Operation] = o
 		}
 		for _, g := range d.Uses.Plans {
-			s.grants[g.Plan] = g.Operations
+			index.grants[g.Plan] = g.Operations
 		}
 	}
 	if d.Keys != nil {
 		for _, k := range d.Keys.Keys {
-			s.addKey(k)
+			index.addKey(k)
 		}
 	}
-	return s
+	return index
 }
 
-func (s *side) addKey(k lists.Key) {
-	if s.keys[k.Organisation] == nil {
-		s.keys[k.Organisation] = map[string]lists.Key{}
+func (x *listIndex) addKey(k lists.Key) {
+	if x.keys[k.Organisation] == nil {
+		x.keys[k.Organisation] = map[string]lists.Key{}
 	}
-	s.keys[k.Organisation][k.SHA256] = k
+	x.keys[k.Organisation][k.SHA256] = k
 }
 
-// uses returns the operations that the organisation's plan may use, by name.
-func (s *side) uses(organisation string) map[string]lists.Operation {
+// uses returns the operations that the organisation may use under its plan, by name.
+func (x *listIndex) uses(organisation string) map[string]lists.Operation {
 	all := map[string]lists.Operation{}
-	for _, name := range s.grants[s.organisations[organisation].Plan] {
-		all[name] = s.operations[name]
+	for _, name := range x.grants[x.organisations[organisation].Plan] {
+		all[name] = x.operations[name]
 	}
 	return all
 }
 
-func names(sides ...*side) []string {
+func organisationNames(indexes ...*listIndex) []string {
 	all := map[string]bool{}
-	for _, s := range sides {
-		for name := range s.organisations {
+	for _, index := range indexes {
+		for name := range index.organisations {
 			all[name] = true
 		}
-		for name := range s.keys {
+		for name := range index.keys {
 			all[name] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(all))
 }
 
-// pair is one organisation on both sides.
-type pair struct {
+// comparison collects the changes for one organisation.
+type comparison struct {
 	name    string
-	before  *side
-	after   *side
+	before  *listIndex
+	after   *listIndex
 	changes []Change
 }
 
-func (p *pair) add(k Kind, subject, before, after, note string) {
-	p.changes = append(p.changes, Change{Organisation: p.name, Kind: k, Subject: subject, Before: before, After: after, Note: note})
+func (c *comparison) add(k Kind, subject, before, after, note string) {
+	c.changes = append(c.changes, Change{Organisation: c.name, Kind: k, Subject: subject, Before: before, After: after, Note: note})
 }
 
-func (p *pair) membership() {
-	b, was := p.before.organisations[p.name]
-	a, is := p.after.organisations[p.name]
+func (c *comparison) compareMembership() {
+	before, wasListed := c.before.organisations[c.name]
+	after, isListed := c.after.organisations[c.name]
 	switch {
-	case !was && is:
-		p.add(Joins, "", "", fmt.Sprintf("plan %s, %s requests/s, burst %d", a.Plan, number(a.Rate), a.Burst), "")
-	case was && !is:
-		p.add(Leaves, "", "", "", "every request of it is refused")
-	case was && is:
-		p.limits(b, a)
+	case !wasListed && isListed:
+		c.add(Joins, "", "", fmt.Sprintf("plan %s, %s requests/s, burst %d", after.Plan, formatRate(after.Rate), after.Burst), "")
+	case wasListed && !isListed:
+		c.add(Leaves, "", "", "", "every request of it is refused")
+	case wasListed && isListed:
+		c.compareLimits(before, after)
 	}
 }
 
-func (p *pair) limits(b, a lists.Organisation) {
-	if b.Plan != a.Plan {
-		p.add(Plan, "", b.Plan, a.Plan, "")
+func (c *comparison) compareLimits(before, after lists.Organisation) {
+	if before.Plan != after.Plan {
+		c.add(Plan, "", before.Plan, after.Plan, "")
 	}
-	if b.Rate != a.Rate {
-		p.add(Rate, "", number(b.Rate)+" requests/s", number(a.Rate)+" requests/s", direction(cmp.Compare(a.Rate, b.Rate)))
+	if before.Rate != after.Rate {
+		c.add(Rate, "", formatRate(before.Rate)+" requests/s", formatRate(after.Rate)+" requests/s", direction(cmp.Compare(after.Rate, before.Rate)))
 	}
-	if b.Burst != a.Burst {
-		p.add(Burst, "", strconv.Itoa(b.Burst), strconv.Itoa(a.Burst), direction(cmp.Compare(a.Burst, b.Burst)))
+	if before.Burst != after.Burst {
+		c.add(Burst, "", strconv.Itoa(before.Burst), strconv.Itoa(after.Burst), direction(cmp.Compare(after.Burst, before.Burst)))
 	}
-	if b.Weight != a.Weight {
-		p.add(Weight, "", strconv.Itoa(b.Weight), strconv.Itoa(a.Weight), direction(cmp.Compare(a.Weight, b.Weight)))
+	if before.Weight != after.Weight {
+		c.add(Weight, "", strconv.Itoa(before.Weight), strconv.Itoa(after.Weight), direction(cmp.Compare(after.Weight, before.Weight)))
 	}
 }
 
@@ -139,76 +139,76 @@
 	return "down"
 }
 
-func number(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
+func formatRate(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// keys compares by hash: a new hash under an old id is a key withdrawn and another given.
-func (p *pair) keys() {
-	before, after := p.before.keys[p.name], p.after.keys[p.name]
+// compareKeys compares keys by hash: a new hash with an old id counts as one key withdrawn and another given.
+func (c *comparison) compareKeys() {
+	before, after := c.before.keys[c.name], c.after.keys[c.name]
 	for _, hash := range slices.Sorted(maps.Keys(before)) {
 		if _, ok := after[hash]; !ok {
-			p.add(Withdrawn, before[hash].ID, "", "", p.lastKey(after))
+			c.add(KeyWithdrawn, before[hash].ID, "", "", c.noteIfLast(after))
 		}
 	}
 	for _, hash := range slices.Sorted(maps.Keys(after)) {
 		if _, ok := before[hash]; !ok {
-			p.add(Given, after[hash].ID, "", "", "")
+			c.add(KeyGiven, after[hash].ID, "", "", "")
 		}
 	}
 }
 
-func (p *pair) lastKey(after map[string]lists.Key) string {
+func (c *comparison) noteIfLast(after map[string]lists.Key) string {
 	if len(after) == 0 {
 		return "it has no key left"
 	}
 	return ""
 }
 
-// operations compares what the organisation may use; one that leaves loses all of it anyway.
-func (p *pair) operations() {
-	if _, stays := p.after.organisations[p.name]; !stays {
+// compareOperations compares the operations that the organisation may use, unless it leaves: then it loses all of them anyway.
+func (c *comparison) compareOperations() {
+	if _, isListed := c.after.organisations[c.name]; !isListed {
 		return
 	}
-	before, after := p.before.uses(p.name), p.after.uses(p.name)
+	before, after := c.before.uses(c.name), c.after.uses(c.name)
 	for _, name := range slices.Sorted(maps.Keys(before)) {
 		if a, ok := after[name]; ok {
-			p.operation(before[name], a)
+			c.compareOperation(before[name], a)
 		} else {
-			p.add(Loses, name, "", "", "")
+			c.add(Loses, name, "", "", "")
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(after)) {
 		if _, ok := before[name]; !ok {
-			p.add(Gains, name, "", "", "")
+			c.add(Gains, name, "", "", "")
 		}
 	}
 }
 
-func (p *pair) operation(b, a lists.Operation) {
-	if b.PriorityClass() != a.PriorityClass() {
+func (c *comparison) compareOperation(before, after lists.Operation) {
+	if before.PriorityClass() != after.PriorityClass() {
 		note := "shed later under overload"
-		if a.PriorityClass() < b.PriorityClass() {
+		if after.PriorityClass() < before.PriorityClass() {
 			note = "shed earlier under overload"
 		}
-		p.add(Priority, a.Operation, b.Priority, a.Priority, note)
+		c.add(Priority, after.Operation, before.Priority, after.Priority, note)
 	}
-	if b.Idempotent != a.Idempotent {
+	if before.Idempotent != after.Idempotent {
 		note := "runs at most once, lost answers are not repeated"
-		if a.Idempotent {
+		if after.Idempotent {
 			note = "may run again after a lost answer"
 		}
-		p.add(Idempotent, a.Operation, strconv.FormatBool(b.Idempotent), strconv.FormatBool(a.Idempotent), note)
+		c.add(Idempotent, after.Operation, strconv.FormatBool(before.Idempotent), strconv.FormatBool(after.Idempotent), note)
 	}
-	if route(b) != route(a) {
-		p.add(Route, a.Operation, route(b), route(a), "")
+	if formatRoute(before) != formatRoute(after) {
+		c.add(Route, after.Operation, formatRoute(before), formatRoute(after), "")
 	}
-	if b.Runs != a.Runs {
-		p.add(Runs, a.Operation, runs(b), runs(a), "")
+	if before.Runs != after.Runs {
+		c.add(Runs, after.Operation, formatRuns(before), formatRuns(after), "")
 	}
 }
 
-func route(o lists.Operation) string { return o.Method + " /" + o.Service + o.Path }
+func formatRoute(o lists.Operation) string { return o.Method + " /" + o.Service + o.Path }
 
-func runs(o lists.Operation) string {
+func formatRuns(o lists.Operation) string {
 	if o.Runs == 0 {
 		return "default"
 	}
--- a/internal/ctl/diff/diff_test.go
+++ b/internal/ctl/diff/diff_test.go
@@ -21,7 +21,7 @@
 	newHash = "8c64aeb1c1aa8d56dff35716539f1eb8d4ce4cb58757bba295340f588626be31"
 )
 
-func listed(plans, uses, keys string) *draft.Draft {
+func newDraft(plans, uses, keys string) *draft.Draft {
 	var files [lists.Kinds]draft.File
 	for k, raw := range []string{plans, uses, keys} {
 		files[k] = draft.File{Name: lists.Kind(k).String(), Raw: []byte(raw)}
@@ -35,37 +35,37 @@
 		after *draft.Draft
 		want  []string
 	}{
-		{"nothing", listed(plans, uses, keys), nil},
-		{"rate up, burst down", listed(strings.Replace(plans, `"rate":10,"burst":20`, `"rate":12.5,"burst":8`, 1), uses, keys), []string{
+		{"nothing", newDraft(plans, uses, keys), nil},
+		{"rate up, burst down", newDraft(strings.Replace(plans, `"rate":10,"burst":20`, `"rate":12.5,"burst":8`, 1), uses, keys), []string{
 			"dealer: rate 10 requests/s -> 12.5 requests/s (up)", "dealer: burst 20 -> 8 (down)",
 		}},
-		{"another plan gains an operation", listed(strings.Replace(plans, `"basic"`, `"full"`, 1), uses, keys), []string{
+		{"another plan gains an operation", newDraft(strings.Replace(plans, `"basic"`, `"full"`, 1), uses, keys), []string{
 			"dealer: plan basic -> full", "dealer: gains send",
 		}},
-		{"a grant taken away reaches all of the plan", listed(plans, strings.Replace(uses, `["find"]`, `[]`, 1), keys), []string{
+		{"all organisations of a plan lose an operation", newDraft(plans, strings.Replace(uses, `["find"]`, `[]`, 1), keys), []string{
 			"dealer: loses find", "maker: loses find",
 		}},
-		{"a key replaced under its id", listed(plans, uses, strings.Replace(keys, oldHash, newHash, 1)), []string{
+		{"a key with the id of the former one", newDraft(plans, uses, strings.Replace(keys, oldHash, newHash, 1)), []string{
 			"dealer: keyWithdrawn k1", "dealer: keyGiven k1",
 		}},
-		{"the last key withdrawn", listed(plans, uses, `{"keys":[]}`), []string{"dealer: keyWithdrawn k1 (it has no key left)"}},
-		{"idempotent and priority", listed(plans, strings.Replace(uses, `"interactive","idempotent":true`, `"background","idempotent":false`, 1), keys), []string{
+		{"the last key withdrawn", newDraft(plans, uses, `{"keys":[]}`), []string{"dealer: keyWithdrawn k1 (it has no key left)"}},
+		{"idempotent and priority", newDraft(plans, strings.Replace(uses, `"interactive","idempotent":true`, `"background","idempotent":false`, 1), keys), []string{
 			"dealer: priority find interactive -> background (shed earlier under overload)",
 			"dealer: idempotent find true -> false (runs at most once, lost answers are not repeated)",
 			"maker: priority find interactive -> background (shed earlier under overload)",
 			"maker: idempotent find true -> false (runs at most once, lost answers are not repeated)",
 		}},
-		{"one leaves, one joins", listed(strings.Replace(plans, `"maker"`, `"new"`, 1), uses, keys), []string{
+		{"one leaves, one joins", newDraft(strings.Replace(plans, `"maker"`, `"new"`, 1), uses, keys), []string{
 			"maker: leaves (every request of it is refused)",
 			"new: joins none -> plan basic, 5 requests/s, burst 5", "new: gains find",
 		}},
 	}
-	Convey("A change tells what it does to each organisation", t, func() {
+	Convey("The changes of each organisation are listed", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				So(c.after.Sound(), ShouldBeTrue)
+				So(c.after.Valid(), ShouldBeTrue)
 				var got []string
-				for _, change := range Of(listed(plans, uses, keys), c.after) {
+				for _, change := range Compare(newDraft(plans, uses, keys), c.after) {
 					got = append(got, change.Organisation+": "+change.String())
 				}
 				So(got, ShouldResemble, c.want)
--- a/internal/ctl/draft/doc.go
+++ b/internal/ctl/draft/doc.go
@@ -1,2 +1,2 @@
-// Package draft reads the lists as an operator has them at hand, before they are published.
+// Package draft reads an operator's lists before they are published.
 package draft
--- a/internal/ctl/draft/draft.go
+++ b/internal/ctl/draft/draft.go
@@ -6,13 +6,13 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// File is one value as it lies on disk or came from the platform; without a name it isn't there.
+// File is one list as read from disk or from the platform; an empty name means that the list is missing.
 type File struct {
 	Name string
 	Raw  []byte
 }
 
-// Draft is the lists at hand; a list that is missing or has faults is nil.
+// Draft is a set of lists; one that is missing or has faults is nil.
 type Draft struct {
 	Files  [lists.Kinds]File
 	Faults [lists.Kinds]lists.Faults
@@ -22,7 +22,7 @@
 	Hosts  *lists.Hosts
 }
 
-// Parse reads every file by the rules that the daemons follow and keeps all their faults.
+// Parse parses every file by the rules of the daemons and keeps all faults.
 func Parse(files [lists.Kinds]File) *Draft {
 	d := &Draft{Files: files}
 	d.Plans = parse[lists.Plans](d, lists.KindPlans)
@@ -32,8 +32,8 @@
 	return d
 }
 
-// Sound reports whether no list has a fault.
-func (d *Draft) Sound() bool {
+// Valid reports whether no list has a fault.
+func (d *Draft) Valid() bool {
 	for _, faults := range d.Faults {
 		if len(faults) > 0 {
 			return false
@@ -42,8 +42,8 @@
 	return true
 }
 
-// Over returns the files at hand with those of base where there is none.
-func Over(base, files [lists.Kinds]File) [lists.Kinds]File {
+// Overlay returns base with those files replaced that files has.
+func Overlay(base, files [lists.Kinds]File) [lists.Kinds]File {
 	for k, f := range files {
 		if f.Name != "" {
 			base[k] = f
--- a/internal/ctl/draft/draft_test.go
+++ b/internal/ctl/draft/draft_test.go
@@ -30,7 +30,7 @@
 		{"line 3", 3},
 		{"value", 0},
 	}
-	Convey("The place of a fault is found in the file, or the beginning of its entry", t, func() {
+	Convey("A fault is located at its field, or at the beginning of its entry if that has no such field", t, func() {
 		for _, c := range cases {
 			So(Line([]byte(keys), c.place), ShouldEqual, c.line)
 		}
@@ -39,25 +39,25 @@
 }
 
 func TestParse(t *testing.T) {
-	Convey("Each list is read by itself, and its faults are kept", t, func() {
+	Convey("Each list is parsed independently, and its faults are kept", t, func() {
 		var files [lists.Kinds]File
 		files[lists.KindKeys] = File{Name: "keys.json", Raw: []byte(keys)}
 		files[lists.KindPlans] = File{Name: "plans.json", Raw: []byte(`{"organisations":[]}`)}
 		d := Parse(files)
-		So(d.Sound(), ShouldBeFalse)
+		So(d.Valid(), ShouldBeFalse)
 		So(d.Plans, ShouldNotBeNil)
 		So(d.Keys, ShouldBeNil)
 		So(d.Uses, ShouldBeNil)
 		So(d.Faults[lists.KindKeys], ShouldHaveLength, 2)
 		So(d.Faults[lists.KindUses], ShouldBeEmpty)
 	})
-	Convey("Files at hand go over those in force", t, func() {
+	Convey("Overlay replaces files of the base", t, func() {
 		var base, files [lists.Kinds]File
 		base[lists.KindKeys] = File{Name: "old"}
 		base[lists.KindUses] = File{Name: "old"}
 		files[lists.KindKeys] = File{Name: "new"}
-		over := Over(base, files)
-		So(over[lists.KindKeys].Name, ShouldEqual, "new")
-		So(over[lists.KindUses].Name, ShouldEqual, "old")
+		merged := Overlay(base, files)
+		So(merged[lists.KindKeys].Name, ShouldEqual, "new")
+		So(merged[lists.KindUses].Name, ShouldEqual, "old")
 	})
 }
--- a/internal/ctl/draft/line.go
+++ b/internal/ctl/draft/line.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Line returns the line, from 1, on which the place of a fault stands, such as
-// keys[2].sha256 or "line 4"; 0 where the place names no line.
+// Line returns the line, counted from 1, of a fault's place, such as
+// keys[2].sha256 or "line 4"; 0 means that the line is unknown.
 func Line(raw []byte, place string) int {
 	line := 0
 	if n, _ := fmt.Sscanf(place, "line %d", &line); n == 1 {
@@ -23,18 +23,18 @@
 		return 0
 	}
 	_, field, _ := strings.Cut(rest, "].")
-	begin, end := element(raw, list, index)
+	begin, end := elementRange(raw, list, index)
 	if end == 0 {
 		return 0
 	}
-	if at := bytes.Index(raw[begin:end], []byte(`"`+field+`"`)); field != "" && at >= 0 {
-		begin += at
+	if offset := bytes.Index(raw[begin:end], []byte(`"`+field+`"`)); field != "" && offset >= 0 {
+		begin += offset
 	}
 	return 1 + bytes.Count(raw[:begin], []byte("\n"))
 }
 
-// element returns where an element of one of the value's lists begins and ends, end 0 when it isn't there.
-func element(raw []byte, list string, index int) (begin, end int) {
+// elementRange returns the byte range of an element of one of the value's arrays; end is 0 if there is no such element.
+func elementRange(raw []byte, list string, index int) (begin, end int) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if _, err := dec.Token(); err != nil {
 		return 0, 0
@@ -45,7 +45,7 @@
 			return 0, 0
 		}
 		if name == list {
-			return nth(dec, index)
+			return nthRange(dec, index)
 		}
 		var skipped json.RawMessage
 		if dec.Decode(&skipped) != nil {
@@ -55,7 +55,7 @@
 	return 0, 0
 }
 
-func nth(dec *json.Decoder, index int) (begin, end int) {
+func nthRange(dec *json.Decoder, index int) (begin, end int) {
 	if _, err := dec.Token(); err != nil {
 		return 0, 0
 	}
--- a/internal/ctl/draft/read.go
+++ b/internal/ctl/draft/read.go
@@ -12,11 +12,12 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/platform"
 )
 
-// Paths names a file for each list; an empty name leaves the list out.
+// Paths has the file of each list; an empty path means that the list is missing.
 type Paths [lists.Kinds]string
 
-// In returns the paths with those left out taken from a folder that holds plans.json, uses.json, keys.json or hosts.json.
-func (p Paths) In(dir string) Paths {
+// FillFrom returns the paths, with each empty one replaced by the list's file in the folder, if there is one: plans.json,
+// uses.json, keys.json or hosts.json.
+func (p Paths) FillFrom(dir string) Paths {
 	for k := range p {
 		candidate := filepath.Join(dir, lists.Kind(k).String()+".json")
 		if _, err := os.Stat(candidate); p[k] == "" && dir != "" && err == nil {
@@ -42,7 +43,8 @@
 	return files, nil
 }
 
-// Fetch reads the lists that the platform at the address serves now; one that was never published is left out; the error tells that it does not answer.
+// Fetch reads the lists that the platform at the address serves now, without those that were never published; the error
+// says why the platform gave no answer.
 func Fetch(ctx context.Context, address netip.AddrPort) ([lists.Kinds]File, error) {
 	var files [lists.Kinds]File
 	client := platform.New(address, netip.Addr{})
--- a/internal/ctl/explain/advice.go
+++ b/internal/ctl/explain/advice.go
@@ -8,23 +8,23 @@
 
 var wholeOutcome = call.Whole.String()
 
-// Advice says what a reason means and who can do what about it.
+// Advice explains a reason and says what the caller and the operator can do.
 type Advice struct {
 	Reason call.Reason
 	// Meaning is one sentence on what was decided and why.
 	Meaning string
-	// Caller is what the caller does next.
+	// Caller is what the caller should do next.
 	Caller string
-	// Operator is what the operator looks at.
+	// Operator is what the operator should check.
 	Operator string
 }
 
-// Of returns the advice on the reason with the given name, or false.
-func Of(reason string) (Advice, bool) {
-	for r, a := range advices {
+// AdviceFor returns the advice on the reason with the given name, or false.
+func AdviceFor(reason string) (Advice, bool) {
+	for r, advice := range adviceByReason {
 		if r.String() == reason {
-			a.Reason = r
-			return a, true
+			advice.Reason = r
+			return advice, true
 		}
 	}
 	return Advice{}, false
@@ -39,7 +39,7 @@
 	return all
 }
 
-var advices = map[call.Reason]Advice{
+var adviceByReason = map[call.Reason]Advice{
 	call.None: {
 		Meaning:  "The upstream's complete answer was passed on.",
 		Caller:   "Use the answer; its status is the upstream's.",
@@ -51,7 +51,7 @@
 		Operator: "Nothing, unless one organisation sends many.",
 	},
 	call.UnknownKey: {
-		Meaning:  "The organisation key, or the token of an upstream's own call, is missing, wrong, withdrawn or over.",
+		Meaning:  "The organisation key is missing, wrong or withdrawn, or the token of an upstream's sub-call is wrong or belongs to a run that has ended.",
 		Caller:   "Ask the operator for a key; don't retry.",
 		Operator: "Compare the keys list with what the organisation sends; `foxctl check` finds keys without an organisation.",
 	},
@@ -71,7 +71,7 @@
 		Operator: "Raise rate or burst in plans if the organisation should have more.",
 	},
 	call.Overloaded: {
-		Meaning:  "The upstream had no slot for the request in time, and what was more important or owed more went first.",
+		Meaning:  "The upstream had no free slot for the request in time: requests with a higher priority, or of organisations that were using less than their share, took precedence.",
 		Caller:   "Come back after Retry-After.",
 		Operator: "Look at the service's latency and in-flight requests; add instances if it lasts.",
 	},
@@ -96,7 +96,7 @@
 		Operator: "Expected during a restart; the host should leave the hosts list.",
 	},
 	call.NotReady: {
-		Meaning:  "The daemon has started, was paused or is cut off, and nobody has confirmed its lists as current.",
+		Meaning:  "The daemon has just started, was paused or is partitioned from the others, and its lists are not confirmed as current.",
 		Caller:   "Come back after Retry-After, at any daemon.",
 		Operator: "If it lasts, look at the standing that `foxctl status` shows, and at what the daemon can reach.",
 	},
@@ -118,7 +118,7 @@
 	call.AnswerLost: {
 		Meaning:  "The request was sent on and no whole answer came back, so it may have run.",
 		Caller:   "Repeat only an idempotent request, or one with an idempotency key.",
-		Operator: "Look for a crash, a restart or a cut between the hosts at that time.",
+		Operator: "Look for a crash, a restart or a network partition between the hosts at that time.",
 	},
 	call.Cancelled: {
 		Meaning:  "The caller hung up while the request was on its way, so it may have run.",
--- a/internal/ctl/explain/doc.go
+++ b/internal/ctl/explain/doc.go
@@ -1,2 +1,2 @@
-// Package explain finds decisions in the daemons' JSON logs and says in a sentence what was decided and why.
+// Package explain finds decisions in the daemons' JSON logs and describes each in a sentence, with its reason.
 package explain
--- a/internal/ctl/explain/entry.go
+++ b/internal/ctl/explain/entry.go
@@ -7,7 +7,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Entry is one decision as the daemons log it.
+// Entry is one decision as logged by a daemon.
 type Entry struct {
 	Time         time.Time `json:"time"`
 	Decision     string    `json:"decision"`
@@ -27,14 +27,14 @@
 	DurationUs   int64     `json:"durationUs,omitempty"`
 }
 
-// Sentence tells what was decided, of which request and why.
+// Sentence describes the request, the decision and its reason.
 func (e Entry) Sentence() string {
-	text := e.what()
+	text := e.describe()
 	if e.Outcome == call.Whole.String() {
 		return text + ": the upstream's whole answer came back."
 	}
 	text += fmt.Sprintf(": %s (%s).", e.Outcome, e.Reason)
-	advice, ok := Of(e.Reason)
+	advice, ok := AdviceFor(e.Reason)
 	if !ok {
 		return text
 	}
@@ -45,7 +45,7 @@
 	return text
 }
 
-func (e Entry) what() string {
+func (e Entry) describe() string {
 	subject := e.Operation
 	if subject == "" {
 		subject = fmt.Sprintf("%s /%s%s", e.Method, e.Service, e.Path)
--- a/internal/ctl/explain/filter.go
+++ b/internal/ctl/explain/filter.go
@@ -10,17 +10,17 @@
 	"github.com/pkg/errors"
 )
 
-// Filter says which decisions are looked for; a zero field lets all pass.
+// Filter selects decisions; a zero field matches all.
 type Filter struct {
 	RequestID    string
 	Organisation string
 	Since        time.Time
 	Until        time.Time
-	// Refused leaves out what ended whole.
+	// Refused excludes decisions with the outcome whole.
 	Refused bool
 }
 
-// Matches reports whether the decision is looked for.
+// Matches reports whether the filter selects the decision.
 func (f Filter) Matches(e Entry) bool {
 	switch {
 	case f.RequestID != "" && e.RequestID != f.RequestID:
@@ -38,20 +38,20 @@
 	}
 }
 
-// Found is the decisions that matched, in order of time over all logs.
+// Found holds the decisions that matched, sorted by time across all logs.
 type Found struct {
 	Entries []Entry `json:"entries"`
-	// Skipped counts lines that are no JSON object, such as one cut off by a crash.
+	// Skipped is the number of lines that aren't JSON objects, such as one truncated by a crash.
 	Skipped int `json:"skippedLines"`
 }
 
-// maxLine bounds one line of a log in bytes; a list's faults can make it long.
-const maxLine = 4 << 20
+// maxLineBytes limits one line of a log; a line with all faults of a list can be long.
+const maxLineBytes = 4 << 20
 
-// Add reads one log and keeps the decisions that match; the error tells why reading ended early.
+// Add reads one log and keeps the decisions that match; the error says why reading ended early.
 func (f *Found) Add(log io.Reader, filter Filter) error {
 	lines := bufio.NewScanner(log)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var e Entry
 		if json.Unmarshal(lines.Bytes(), &e) != nil {
--- a/internal/ctl/key/doc.go
+++ b/internal/ctl/key/doc.go
@@ -1,2 +1,2 @@
-// Package key makes organisation keys and the entries that publish them.
+// Package key creates organisation keys and the list entries that publish their hashes.
 package key
--- a/internal/ctl/key/key.go
+++ b/internal/ctl/key/key.go
@@ -10,27 +10,27 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/lists"
 )
 
-// prefix lets people and secret scanners tell what a key that turned up is for.
+// prefix lets people and secret scanners recognise a leaked key.
 const prefix = "fxh_"
 
-// minLength is the shortest key of an organisation's own that is taken, in
-// bytes: the published hash of a shorter one could be searched.
+// minLength is the minimum length in bytes of a key that an organisation
+// already has; a shorter one could be found from its published hash by search.
 const minLength = 20
 
-// Pair is a key with the entry that publishes its hash.
+// Pair is a key with the list entry that publishes its hash.
 type Pair struct {
-	// Key is the secret for the organisation; it is kept nowhere.
+	// Key is the organisation's secret; it isn't stored anywhere.
 	Key   string    `json:"key"`
 	Entry lists.Key `json:"entry"`
 }
 
-// New returns a key of 130 random bits for the organisation under the id; the error names what the list would reject.
+// New returns a key of 130 random bits with the organisation and the id; the error names what the list would reject.
 func New(organisation, id string) (Pair, error) {
-	return Of(prefix+rand.Text(), organisation, id)
+	return Existing(prefix+rand.Text(), organisation, id)
 }
 
-// Of returns the pair for a key that the organisation already has; the error names what the list would reject.
-func Of(key, organisation, id string) (Pair, error) {
+// Existing returns the pair for a key that the organisation already has; the error names what the list would reject.
+func Existing(key, organisation, id string) (Pair, error) {
 	if len(key) < minLength || strings.ContainsAny(key, " \t\r\n") {
 		return Pair{}, errors.Errorf("a key has at least %d characters, without blanks", minLength)
 	}
--- a/internal/ctl/key/key_test.go
+++ b/internal/ctl/key/key_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestNew(t *testing.T) {
-	Convey("A new key works once its entry is published", t, func() {
+	Convey("A new key is valid once its entry is published", t, func() {
 		pair, err := New("dealer", "k1")
 		So(err, ShouldBeNil)
 		other, err := New("dealer", "k2")
@@ -27,12 +27,12 @@
 		So(ok, ShouldBeTrue)
 		So(organisation, ShouldEqual, "dealer")
 	})
-	Convey("What the list would reject, or could be guessed, is refused", t, func() {
+	Convey("Names that the list would reject and keys that are too short or have blanks are refused", t, func() {
 		_, err := New("two words", "k")
 		So(err.Error(), ShouldContainSubstring, "organisation")
-		_, err = Of("short", "dealer", "k")
+		_, err = Existing("short", "dealer", "k")
 		So(err, ShouldNotBeNil)
-		_, err = Of(strings.Repeat("a b", 10), "dealer", "k")
+		_, err = Existing(strings.Repeat("a b", 10), "dealer", "k")
 		So(err, ShouldNotBeNil)
 	})
 }
--- a/internal/ctl/reference/doc.go
+++ b/internal/ctl/reference/doc.go
@@ -1,2 +1,3 @@
-// Package reference writes the tables of settings, reasons and metrics, so that the pages can't differ from the program.
+// Package reference generates the pages of settings, reasons and metrics from the code, so that they can't differ from the
+// program.
 package reference
--- a/internal/ctl/reference/reference.go
+++ b/internal/ctl/reference/reference.go
@@ -14,24 +14,24 @@
 func Settings() string {
 	var page strings.Builder
 	page.WriteString("# Settings of the daemon\n\n" +
-		"Each setting is a flag of `foxtailhook` and an environment variable; the flag goes first.\n" +
+		"Each setting is a flag of `foxtailhook` and an environment variable; the flag takes precedence.\n" +
 		"Durations are written as `250ms`, `5s` or `2m`. `foxctl check` finds every fault of them before a start.\n" +
 		"This page is written by `make docs`.\n\n" +
 		"| flag | variable | default | meaning, unit, bounds |\n| --- | --- | --- | --- |\n")
 	for _, f := range settings.Flags() {
-		fmt.Fprintf(&page, "| `-%s` | `%s` | %s | %s |\n", f.Name, f.Env, standard(f.Default), cell(f.Help))
+		fmt.Fprintf(&page, "| `-%s` | `%s` | %s | %s |\n", f.Name, f.Env, formatDefault(f.Default), escapeCell(f.Help))
 	}
 	return page.String()
 }
 
-func standard(value string) string {
+func formatDefault(value string) string {
 	if value == "" {
 		return "none"
 	}
 	return "`" + value + "`"
 }
 
-// Reasons returns a Markdown page with every reason that a daemon gives, what it means and who does what about it.
+// Reasons returns a Markdown page with every reason that a daemon gives, its meaning, and what caller and operator can do.
 func Reasons() string {
 	var page strings.Builder
 	page.WriteString("# Outcomes and reasons\n\n" +
@@ -46,14 +46,14 @@
 		if r == call.None {
 			continue
 		}
-		advice, _ := explain.Of(r.String())
+		advice, _ := explain.AdviceFor(r.String())
 		fmt.Fprintf(&page, "| `%s` | %d | %s | %s | %s | %s |\n",
-			r, r.Status(), yes(r.ComeBack()), cell(advice.Meaning), cell(advice.Caller), cell(advice.Operator))
+			r, r.Status(), yesNo(r.ComeBack()), escapeCell(advice.Meaning), escapeCell(advice.Caller), escapeCell(advice.Operator))
 	}
 	return page.String()
 }
 
-// Metrics returns a Markdown page with every metric of the daemon, its unit and tags, and when it is worth a look.
+// Metrics returns a Markdown page with every metric of the daemon, its unit and tags, and what it helps to diagnose.
 func Metrics() string {
 	var page strings.Builder
 	page.WriteString("# Metrics of the daemon\n\n" +
@@ -61,17 +61,17 @@
 		"Counts begin at 0 with the process. This page is written by `make docs`.\n\n" +
 		"| metric | what | unit | tags | worth a look |\n| --- | --- | --- | --- | --- |\n")
 	for _, d := range telemetry.Described() {
-		fmt.Fprintf(&page, "| `%s_%s` | %s | %s | %s | %s |\n", telemetry.Prefix, d.Metric, cell(d.Meaning), d.Unit, d.Tags, cell(d.Look))
+		fmt.Fprintf(&page, "| `%s_%s` | %s | %s | %s | %s |\n", telemetry.Prefix, d.Metric, escapeCell(d.Meaning), d.Unit, d.Tags, escapeCell(d.Look))
 	}
 	return page.String()
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "no"
 }
 
-// cell keeps a text inside its cell.
-func cell(text string) string { return strings.ReplaceAll(text, "|", "\\|") }
+// escapeCell escapes the column separators in the text of a table cell.
+func escapeCell(text string) string { return strings.ReplaceAll(text, "|", "\\|") }
--- a/internal/ctl/reference/reference_test.go
+++ b/internal/ctl/reference/reference_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestPagesAreThoseOfTheProgram(t *testing.T) {
+func TestPagesMatchTheProgram(t *testing.T) {
 	pages := []struct {
 		file string
 		want string
@@ -16,7 +16,7 @@
 		{"../../../docs/REASONS.md", Reasons()},
 		{"../../../docs/METRICS.md", Metrics()},
 	}
-	Convey("The pages are as the program would write them; make docs writes them anew", t, func() {
+	Convey("The pages are as the program generates them; make docs regenerates them", t, func() {
 		for _, p := range pages {
 			raw, err := os.ReadFile(p.file)
 			So(err, ShouldBeNil)
--- a/internal/ctl/status/doc.go
+++ b/internal/ctl/status/doc.go
@@ -1,2 +1,2 @@
-// Package status reads what daemons tell of themselves and finds where they differ.
+// Package status reads the status of daemons and finds faults and differences between them.
 package status
--- a/internal/ctl/status/fetch.go
+++ b/internal/ctl/status/fetch.go
@@ -13,36 +13,36 @@
 	"github.com/foxtailhook/foxtailhook/internal/app/daemon"
 )
 
-// Host is one daemon's status, or why there is none.
+// Host is one daemon's status, or the error of reading it.
 type Host struct {
 	Operators netip.AddrPort `json:"operators"`
 	Status    *daemon.Status `json:"status,omitempty"`
 	Error     string         `json:"error,omitempty"`
 }
 
-// atOnce bounds the requests in flight, so that asking a fleet of thousands opens few sockets.
-const atOnce = 64
+// maxConcurrent limits the requests in flight, so that reading the status of thousands of hosts opens few sockets.
+const maxConcurrent = 64
 
-// Fetch asks every operators' address for its status, each for at most the timeout, and returns them in that order.
+// Fetch reads the status at every operators' address, each with the timeout, and returns them in that order.
 func Fetch(ctx context.Context, operators []netip.AddrPort, timeout time.Duration) []Host {
 	hosts := make([]Host, len(operators))
 	client := &http.Client{Timeout: timeout}
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrent)
 	var all sync.WaitGroup
-	for i, o := range operators {
+	for i, address := range operators {
 		slots <- struct{}{}
 		all.Go(func() {
 			defer func() { <-slots }()
-			hosts[i] = fetch(ctx, client, o)
+			hosts[i] = fetch(ctx, client, address)
 		})
 	}
 	all.Wait()
 	return hosts
 }
 
-func fetch(ctx context.Context, client *http.Client, o netip.AddrPort) Host {
-	host := Host{Operators: o}
-	status, err := get(ctx, client, o)
+func fetch(ctx context.Context, client *http.Client, address netip.AddrPort) Host {
+	host := Host{Operators: address}
+	status, err := get(ctx, client, address)
 	if err != nil {
 		host.Error = err.Error()
 		return host
@@ -51,8 +51,8 @@
 	return host
 }
 
-func get(ctx context.Context, client *http.Client, o netip.AddrPort) (*daemon.Status, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+o.String()+"/statusz", nil)
+func get(ctx context.Context, client *http.Client, address netip.AddrPort) (*daemon.Status, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/statusz", nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
 	}
--- a/internal/ctl/status/status_test.go
+++ b/internal/ctl/status/status_test.go
@@ -17,19 +17,19 @@
 	return netip.MustParseAddrPort(s.Listener.Addr().String())
 }
 
-const sound = `{"host":"h1","ready":true,"standing":"serving","rates":{"mayLend":true,"hostsVersion":3},"lists":{"keys":{"version":4},"plans":{"version":2}}}`
+const healthy = `{"host":"h1","ready":true,"standing":"serving","rates":{"mayLend":true,"hostsVersion":3},"lists":{"keys":{"version":4},"plans":{"version":2}}}`
 
 func TestFleet(t *testing.T) {
-	// A host that was cut off goes on with an older list: a key withdrawn
-	// elsewhere still works there, and no single host's status shows it.
-	behind := strings.NewReplacer("h1", "h2", `"version":4`, `"version":3`).Replace(sound)
-	rejecting := strings.NewReplacer("h1", "h3", `"version":2`, `"version":2,"rejected":{"version":5,"faults":[{"place":"line 1","text":"unknown field"}]}`).Replace(sound)
-	Convey("Hosts that agree give no concern", t, func() {
-		fleet := New(Fetch(t.Context(), []netip.AddrPort{serve(t, sound), serve(t, sound)}, time.Second))
+	// A partitioned host goes on with an older list, so a withdrawn key is still
+	// valid on it, which the status of no single host shows.
+	outdated := strings.NewReplacer("h1", "h2", `"version":4`, `"version":3`).Replace(healthy)
+	rejecting := strings.NewReplacer("h1", "h3", `"version":2`, `"version":2,"rejected":{"version":5,"faults":[{"place":"line 1","text":"unknown field"}]}`).Replace(healthy)
+	Convey("Healthy hosts with the same versions give no concern", t, func() {
+		fleet := New(Fetch(t.Context(), []netip.AddrPort{serve(t, healthy), serve(t, healthy)}, time.Second))
 		So(fleet.Concerns, ShouldBeEmpty)
 		So(fleet.Hosts[0].Status.Host, ShouldEqual, "h1")
 	})
-	Convey("A host that is alone, or keeps a part of the rates to itself, is named with what to look at", t, func() {
+	Convey("A host that isn't ready, is isolated or lends no tokens is named with the likely cause", t, func() {
 		cases := []struct {
 			name  string
 			old   []string
@@ -45,18 +45,18 @@
 		}
 		for _, c := range cases {
 			Convey(c.name, func() {
-				body := strings.NewReplacer(c.old...).Replace(sound)
-				fleet := New(Fetch(t.Context(), []netip.AddrPort{serve(t, sound), serve(t, body)}, time.Second))
+				body := strings.NewReplacer(c.old...).Replace(healthy)
+				fleet := New(Fetch(t.Context(), []netip.AddrPort{serve(t, healthy), serve(t, body)}, time.Second))
 				all := strings.Join(fleet.Concerns, "\n")
 				So(all == "", ShouldEqual, c.wants == "")
 				So(all, ShouldContainSubstring, c.wants)
 			})
 		}
 	})
-	Convey("Hosts that differ, reject or don't answer are named", t, func() {
-		silent := netip.MustParseAddrPort("127.0.0.1:1")
+	Convey("Hosts that have other versions, have rejected a list or don't answer are named", t, func() {
+		unreachable := netip.MustParseAddrPort("127.0.0.1:1")
 		fleet := New(Fetch(t.Context(), []netip.AddrPort{
-			serve(t, sound), serve(t, behind), serve(t, rejecting), serve(t, `{"host":"h4","lists":{"keys":{"version":4},"plans":{"version":2}}}`), silent, serve(t, "x"),
+			serve(t, healthy), serve(t, outdated), serve(t, rejecting), serve(t, `{"host":"h4","lists":{"keys":{"version":4},"plans":{"version":2}}}`), unreachable, serve(t, "x"),
 		}, time.Second))
 		all := strings.Join(fleet.Concerns, "\n")
 		So(fleet.Concerns, ShouldHaveLength, 5)
