--- a/internal/proof/architecture/doc.go
+++ b/internal/proof/architecture/doc.go
@@ -1,2 +1,2 @@
-// Package architecture holds the rules of the folders: what may import what.
+// Package architecture tests the rules of the source tree: allowed imports, lengths and doc comments.
 package architecture
--- a/internal/proof/architecture/embedding_test.go
+++ b/internal/proof/architecture/embedding_test.go
@@ -41,27 +41,27 @@
 }
 `
 
-// importerModule returns the go.mod of a module outside this one that uses it from this folder.
-func importerModule(t *testing.T, own string) string {
-	raw, err := os.ReadFile(filepath.Join(own, "go.mod"))
+// importerModule returns the go.mod of another module that imports this one from its folder.
+func importerModule(t *testing.T, moduleDir string) string {
+	raw, err := os.ReadFile(filepath.Join(moduleDir, "go.mod"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	module := regexp.MustCompile(`(?m)^module .*$`).ReplaceAllString(string(raw), "module example.org/importer")
-	return module + "\nrequire github.com/foxtailhook/foxtailhook v0.0.0\nreplace github.com/foxtailhook/foxtailhook => " + own + "\n"
+	goMod := regexp.MustCompile(`(?m)^module .*$`).ReplaceAllString(string(raw), "module example.org/importer")
+	return goMod + "\nrequire github.com/foxtailhook/foxtailhook v0.0.0\nreplace github.com/foxtailhook/foxtailhook => " + moduleDir + "\n"
 }
 
 func TestImportersOutsideTheModule(t *testing.T) {
-	// Packages under internal/ can't be imported from elsewhere, and a part
-	// whose constructor wants a type from there compiles in this module's own
-	// tests and nowhere else.
-	Convey("A module of its own builds with the root package and the parts", t, func() {
-		own, err := filepath.Abs(root)
+	// Other modules can't import packages under internal/, so a package of parts
+	// whose constructor needs a type from there compiles only in this module,
+	// and the tests of this module don't notice.
+	Convey("Another module builds with the root package and parts", t, func() {
+		moduleDir, err := filepath.Abs(root)
 		So(err, ShouldBeNil)
-		sums, err := os.ReadFile(filepath.Join(own, "go.sum"))
+		sums, err := os.ReadFile(filepath.Join(moduleDir, "go.sum"))
 		So(err, ShouldBeNil)
 		dir := t.TempDir()
-		files := map[string]string{"go.mod": importerModule(t, own), "go.sum": string(sums), "main.go": importer}
+		files := map[string]string{"go.mod": importerModule(t, moduleDir), "go.sum": string(sums), "main.go": importer}
 		for name, text := range files {
 			So(os.WriteFile(filepath.Join(dir, name), []byte(text), 0o644), ShouldBeNil)
 		}
@@ -72,7 +72,7 @@
 		So(string(out), ShouldEqual, "3 0 1\n")
 		So(err, ShouldBeNil)
 	})
-	Convey("The parts bring no sockets and no daemon with them", t, func() {
+	Convey("The packages of parts import neither the daemon nor the wire protocols", t, func() {
 		for _, f := range sources(t, "parts") {
 			for _, name := range f.imports {
 				So(strings.HasPrefix(name, module+"internal/app"), ShouldBeFalse)
--- a/internal/proof/architecture/imports_test.go
+++ b/internal/proof/architecture/imports_test.go
@@ -18,26 +18,26 @@
 	module = "github.com/foxtailhook/foxtailhook/"
 )
 
-// pure are the areas that decide: they run in a test without sockets, files or a log.
-var pure = []string{"internal/decide", "internal/domain", "internal/fleet"}
+// decisionAreas are the folders whose packages make decisions and can be tested without sockets, files or a log.
+var decisionAreas = []string{"internal/decide", "internal/domain", "internal/fleet"}
 
-// inputOutput are imports that a deciding package must not have, each with all
-// packages below it; exempt are those below them that carry data only.
+// ioPackages must not be imported by packages of decisionAreas, nor the packages
+// below them, except those in ioExempt, which hold data only.
 var (
-	inputOutput = []string{
+	ioPackages = []string{
 		"net", "os", "log", "syscall", "io/ioutil", "io/fs", "database", "plugin", "testing", "github.com/lesismal/nbio",
 		"github.com/sirupsen/logrus", "github.com/uber-go/tally", "github.com/prometheus", "github.com/peterbourgon/ff",
 	}
-	exempt = []string{"net/netip"}
+	ioExempt = []string{"net/netip"}
 )
 
-// file is one source file, tests aside, with what it imports.
+// file is one source file with its imports.
 type file struct {
 	path    string
 	imports []string
 }
 
-// sources returns the files below a folder, tests aside.
+// sources returns the source files below a folder, without tests.
 func sources(t *testing.T, folder string) []file {
 	var all []file
 	err := filepath.WalkDir(filepath.Join(root, folder), func(path string, d fs.DirEntry, err error) error {
@@ -65,19 +65,19 @@
 	return all
 }
 
-func below(name string, roots []string) bool {
+func isBelow(name string, roots []string) bool {
 	return slices.ContainsFunc(roots, func(r string) bool { return name == r || strings.HasPrefix(name, r+"/") })
 }
 
-// forbidden returns why a deciding package must not import the name, or "".
-func forbidden(name string) string {
-	inside, ours := strings.CutPrefix(name, module)
+// forbiddenReason returns why a package of decisionAreas must not import the name, or "" if it may.
+func forbiddenReason(name string) string {
+	folder, ownModule := strings.CutPrefix(name, module)
 	switch {
-	case below(name, exempt):
+	case isBelow(name, ioExempt):
 		return ""
-	case below(name, inputOutput):
+	case isBelow(name, ioPackages):
 		return "input and output"
-	case ours && !below(inside, pure):
+	case ownModule && !isBelow(folder, decisionAreas):
 		return "an area that does input and output"
 	default:
 		return ""
@@ -85,41 +85,40 @@
 }
 
 func TestDecisionsDoNoInputOrOutput(t *testing.T) {
-	// A decision that opens a socket, reads a file or writes a log line can't
-	// be put through a burst in a test, and blocks every caller when the other
-	// end does.
-	Convey("Packages that decide import nothing that does input or output", t, func() {
+	// Decision code that opens a socket, reads a file or writes a log line can't
+	// be tested under simulated load, and blocks every caller while the I/O blocks.
+	Convey("Packages that make decisions import nothing that does input or output", t, func() {
 		var found []string
-		for _, folder := range pure {
+		for _, folder := range decisionAreas {
 			files := sources(t, folder)
 			So(files, ShouldNotBeEmpty)
 			for _, f := range files {
 				for _, name := range f.imports {
-					if why := forbidden(name); why != "" {
-						found = append(found, f.path+" imports "+name+": "+why)
+					if reason := forbiddenReason(name); reason != "" {
+						found = append(found, f.path+" imports "+name+": "+reason)
 					}
 				}
 			}
 		}
 		So(found, ShouldBeEmpty)
 	})
-	Convey("The rule itself tells the two apart", t, func() {
+	Convey("The rule distinguishes I/O packages from others", t, func() {
 		for _, name := range []string{"net", "net/http", "os", "os/signal", "log", "log/slog", "github.com/lesismal/nbio/nbhttp", module + "internal/wire/peer"} {
-			So(forbidden(name), ShouldNotBeBlank)
+			So(forbiddenReason(name), ShouldNotBeBlank)
 		}
 		for _, name := range []string{"net/netip", "time", "sync", "netx", module + "internal/domain/call"} {
-			So(forbidden(name), ShouldBeBlank)
+			So(forbiddenReason(name), ShouldBeBlank)
 		}
 	})
 }
 
-func TestWiringIsInOnePlace(t *testing.T) {
-	Convey("Only the programs, the root package and the tools import the wiring of the daemon", t, func() {
+func TestOnlyProgramsAndToolsImportTheDaemon(t *testing.T) {
+	Convey("Only programs, the root package and tools import internal/app, the wiring of the daemon", t, func() {
 		var found []string
 		for _, folder := range []string{"internal/wire", "internal/standin", "internal/load", "internal/decide", "internal/domain", "internal/fleet"} {
 			for _, f := range sources(t, folder) {
 				for _, name := range f.imports {
-					if below(name, []string{module + "internal/app"}) {
+					if isBelow(name, []string{module + "internal/app"}) {
 						found = append(found, f.path+" imports "+name)
 					}
 				}
--- a/internal/proof/architecture/reading_test.go
+++ b/internal/proof/architecture/reading_test.go
@@ -14,58 +14,58 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Bounds that a reader's screen sets.
+// Maximum lengths in lines, set by what a reader can follow on a screen.
 const (
-	mostFileLines     = 400
-	mostFunctionLines = 60
+	maxFileLines     = 400
+	maxFunctionLines = 60
 )
 
-// reading collects what a newcomer would stumble over.
-type reading struct {
-	set   *token.FileSet
+// styleCheck finds files and functions that are too long and exported names without a doc comment.
+type styleCheck struct {
+	files *token.FileSet
 	found []string
 }
 
-func (r *reading) add(at token.Pos, format string, args ...any) {
-	p := r.set.Position(at)
-	r.found = append(r.found, fmt.Sprintf("%s:%d: %s", p.Filename, p.Line, fmt.Sprintf(format, args...)))
+func (c *styleCheck) report(at token.Pos, format string, args ...any) {
+	position := c.files.Position(at)
+	c.found = append(c.found, fmt.Sprintf("%s:%d: %s", position.Filename, position.Line, fmt.Sprintf(format, args...)))
 }
 
-func (r *reading) file(path string) error {
+func (c *styleCheck) checkFile(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	parsed, err := parser.ParseFile(r.set, path, raw, parser.ParseComments)
+	parsed, err := parser.ParseFile(c.files, path, raw, parser.ParseComments)
 	if err != nil || ast.IsGenerated(parsed) {
 		return err
 	}
-	if lines := bytes.Count(raw, []byte("\n")); lines > mostFileLines {
-		r.add(parsed.Pos(), "%d lines in one file", lines)
+	if lines := bytes.Count(raw, []byte("\n")); lines > maxFileLines {
+		c.report(parsed.Pos(), "%d lines in one file", lines)
 	}
 	for _, d := range parsed.Decls {
 		switch d := d.(type) {
 		case *ast.FuncDecl:
-			r.function(d)
+			c.checkFunction(d)
 		case *ast.GenDecl:
-			r.names(d)
+			c.checkDeclaration(d)
 		}
 	}
 	return nil
 }
 
-func (r *reading) function(f *ast.FuncDecl) {
-	length := r.set.Position(f.End()).Line - r.set.Position(f.Pos()).Line
-	if length > mostFunctionLines {
-		r.add(f.Pos(), "%s has %d lines", f.Name.Name, length)
+func (c *styleCheck) checkFunction(f *ast.FuncDecl) {
+	length := c.files.Position(f.End()).Line - c.files.Position(f.Pos()).Line
+	if length > maxFunctionLines {
+		c.report(f.Pos(), "%s has %d lines", f.Name.Name, length)
 	}
-	if f.Name.IsExported() && f.Doc == nil && visible(f) {
-		r.add(f.Pos(), "%s has no sentence", f.Name.Name)
+	if f.Name.IsExported() && f.Doc == nil && callableByName(f) {
+		c.report(f.Pos(), "%s has no doc comment", f.Name.Name)
 	}
 }
 
-// visible reports whether a function can be called by its name from another package.
-func visible(f *ast.FuncDecl) bool {
+// callableByName reports whether a function can be called by its name from another package.
+func callableByName(f *ast.FuncDecl) bool {
 	if f.Recv == nil {
 		return true
 	}
@@ -80,8 +80,8 @@
 	return ok && name.IsExported()
 }
 
-// names looks at exported types, constants and variables; one sentence above a group serves all of it.
-func (r *reading) names(g *ast.GenDecl) {
+// checkDeclaration checks the doc comments of exported types, constants and variables; one above a group covers all of it.
+func (c *styleCheck) checkDeclaration(g *ast.GenDecl) {
 	if g.Doc != nil {
 		return
 	}
@@ -89,28 +89,28 @@
 		switch s := s.(type) {
 		case *ast.TypeSpec:
 			if s.Name.IsExported() && s.Doc == nil {
-				r.add(s.Pos(), "%s has no sentence", s.Name.Name)
+				c.report(s.Pos(), "%s has no doc comment", s.Name.Name)
 			}
 		case *ast.ValueSpec:
 			if s.Names[0].IsExported() && s.Doc == nil {
-				r.add(s.Pos(), "%s has no sentence", s.Names[0].Name)
+				c.report(s.Pos(), "%s has no doc comment", s.Names[0].Name)
 			}
 		}
 	}
 }
 
-func TestNewcomersCanRead(t *testing.T) {
-	// Files and functions grow a little with each change, until nobody reads
-	// them whole any more and the next fault hides there.
-	r := &reading{set: token.NewFileSet()}
+func TestLengthsAndDocComments(t *testing.T) {
+	// Files and functions grow a little with each change, until they are too
+	// long to be reviewed as a whole and faults go unnoticed.
+	c := &styleCheck{files: token.NewFileSet()}
 	err := filepath.WalkDir(root, func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		return r.file(path)
+		return c.checkFile(path)
 	})
-	Convey("Files and functions stay short, and each exported name has its sentence", t, func() {
+	Convey("Files and functions are short, and each exported name has a doc comment", t, func() {
 		So(err, ShouldBeNil)
-		So(strings.Join(r.found, "\n"), ShouldBeBlank)
+		So(strings.Join(c.found, "\n"), ShouldBeBlank)
 	})
 }
--- a/internal/proof/docs/doc.go
+++ b/internal/proof/docs/doc.go
@@ -1,2 +1,2 @@
-// Package docs holds the rules of the pages: their links lead somewhere and every page can be found.
+// Package docs tests the documentation: links have targets, every page is reachable, and every log line is described.
 package docs
--- a/internal/proof/docs/links_test.go
+++ b/internal/proof/docs/links_test.go
@@ -13,16 +13,16 @@
 
 const root = "../../.."
 
-var link = regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
+var linkPattern = regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
 
-// targets returns the files that a page links to, from the root.
-func targets(t *testing.T, page string) []string {
+// linkTargets returns the files that a page links to, relative to the root.
+func linkTargets(t *testing.T, page string) []string {
 	raw, err := os.ReadFile(filepath.Join(root, page))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var all []string
-	for _, m := range link.FindAllStringSubmatch(string(raw), -1) {
+	for _, m := range linkPattern.FindAllStringSubmatch(string(raw), -1) {
 		if !strings.Contains(m[1], "://") {
 			all = append(all, filepath.Join(filepath.Dir(page), m[1]))
 		}
@@ -30,37 +30,37 @@
 	return all
 }
 
-func TestEveryPageIsFoundFromTheReadme(t *testing.T) {
-	// A newcomer follows a link into nothing, or never learns of the page that
-	// would have answered the question.
-	seen := map[string]bool{"README.md": true}
+func TestEveryPageIsReachableFromTheReadme(t *testing.T) {
+	// When files are renamed or pages added, links break and pages are left that
+	// no other page links to, so that readers don't find them.
+	reached := map[string]bool{"README.md": true}
 	queue := []string{"README.md"}
 	var broken []string
 	for len(queue) > 0 {
 		page := queue[0]
 		queue = queue[1:]
-		for _, to := range targets(t, page) {
+		for _, to := range linkTargets(t, page) {
 			if _, err := os.Stat(filepath.Join(root, to)); err != nil {
 				broken = append(broken, page+" -> "+to)
 				continue
 			}
-			if strings.HasSuffix(to, ".md") && !seen[to] {
-				seen[to] = true
+			if strings.HasSuffix(to, ".md") && !reached[to] {
+				reached[to] = true
 				queue = append(queue, to)
 			}
 		}
 	}
-	var lost []string
+	var unreachable []string
 	err := filepath.WalkDir(filepath.Join(root, "docs"), func(path string, d fs.DirEntry, err error) error {
 		page, _ := filepath.Rel(root, path)
-		if err == nil && !d.IsDir() && strings.HasSuffix(page, ".md") && !seen[page] {
-			lost = append(lost, page)
+		if err == nil && !d.IsDir() && strings.HasSuffix(page, ".md") && !reached[page] {
+			unreachable = append(unreachable, page)
 		}
 		return err
 	})
-	Convey("Links lead to files, and every page below docs can be reached", t, func() {
+	Convey("Links have targets, and every page below docs is reachable from the readme", t, func() {
 		So(err, ShouldBeNil)
 		So(broken, ShouldBeEmpty)
-		So(lost, ShouldBeEmpty)
+		So(unreachable, ShouldBeEmpty)
 	})
 }
--- a/internal/proof/loopback/address.go
+++ b/internal/proof/loopback/address.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// port lies below the range that the kernel takes the ports of outgoing
-	// connections from, and beside those that scenarios use.
-	port = 7100
-	// perByte leaves out 0 and the addresses at the end of each byte.
-	perByte = 250
+	// firstPort lies below the range from which the kernel takes the ports of
+	// outgoing connections, and differs from the ports that scenarios use.
+	firstPort = 7100
+	// valuesPerByte excludes 0 and the highest values of each address byte.
+	valuesPerByte = 250
 )
 
-var given atomic.Uint32
+var issued atomic.Uint32
 
-// Address returns a loopback address with a port that nothing listens on, another one at each call.
+// Address returns a loopback address with a port that nothing listens on, a different one at each call.
 //
-// A port that the kernel names as free, and that is closed to be opened again,
-// may meanwhile be the port of any outgoing connection on the machine: a test
-// that starts a listener on it then fails now and then, for no fault of its own.
-// The second and third byte are the process's, the fourth counts the calls.
+// A test that lets the kernel choose a free port, closes it and listens on it
+// again fails now and then, since any outgoing connection on the machine may
+// take the port in between. The second and third byte are derived from the
+// process id, the fourth and the port from the number of the call.
 func Address() netip.AddrPort {
-	pid, number := os.Getpid(), int(given.Add(1)-1)
+	pid, number := os.Getpid(), int(issued.Add(1)-1)
 	address := netip.AddrFrom4([4]byte{
-		127, byte(1 + pid%perByte), byte(1 + pid/perByte%perByte), byte(1 + number%perByte),
+		127, byte(1 + pid%valuesPerByte), byte(1 + pid/valuesPerByte%valuesPerByte), byte(1 + number%valuesPerByte),
 	})
-	return netip.AddrPortFrom(address, uint16(port+number/perByte))
+	return netip.AddrPortFrom(address, uint16(firstPort+number/valuesPerByte))
 }
--- a/internal/proof/loopback/address_test.go
+++ b/internal/proof/loopback/address_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestAddress(t *testing.T) {
-	Convey("Each address is another one and can be listened on", t, func() {
+	Convey("Each address is different and can be listened on", t, func() {
 		seen := map[netip.AddrPort]bool{}
-		for range 2 * perByte {
+		for range 2 * valuesPerByte {
 			a := Address()
 			So(seen[a], ShouldBeFalse)
 			seen[a] = true
--- a/internal/proof/loopback/doc.go
+++ b/internal/proof/loopback/doc.go
@@ -1,2 +1,2 @@
-// Package loopback gives tests addresses that no other test or process uses.
+// Package loopback provides tests with addresses that no other test or process uses.
 package loopback
