--- a/internal/proof/scenario/commands_lists_test.go
+++ b/internal/proof/scenario/commands_lists_test.go
@@ -13,67 +13,67 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// listCommands are for scripts about lists, keys and members.
+// listCommands are the commands of scripts about lists, keys and members.
 func listCommands() map[string]command {
 	return map[string]command{
-		"begin":       cmdBegin,                          // begin TAG send...: send without waiting for the answer
-		"finish":      cmdFinish,                         // finish TAG: wait for the answer and print it
-		"leave":       signaller(syscall.SIGTERM, false), // leave NAME: shut down without waiting for the end
-		"awaitstatus": cmdAwaitStatus,                    // awaitstatus PATTERN NAME...: wait until /statusz of each matches
-		"never":       cmdNever,                          // never DURATION TEXT send...: repeat a send, whose output never has TEXT
-		"spread":      cmdSpread,                         // spread COUNT send...: send so often and print every answer
-		"steady":      cmdSteady,                         // steady COUNT TEXT send...: repeat a send until so many outputs in a row have TEXT
+		"begin":       cmdBegin,                              // begin TAG send...: send without waiting for the response
+		"finish":      cmdFinish,                             // finish TAG: wait for the response and print it
+		"leave":       signalCommand(syscall.SIGTERM, false), // leave NAME: send SIGTERM without waiting for the daemon's exit
+		"awaitstatus": cmdAwaitStatus,                        // awaitstatus PATTERN NAME...: wait until /statusz of each matches
+		"never":       cmdNever,                              // never DURATION TEXT send...: repeat a send for that time and fail if an output has TEXT
+		"spread":      cmdSpread,                             // spread COUNT send...: send COUNT times and print every response
+		"steady":      cmdSteady,                             // steady COUNT TEXT send...: repeat a send until COUNT consecutive outputs have TEXT
 	}
 }
 
-type begunKey struct{ tag string }
+type sendTag struct{ name string }
 
-type begun struct {
+type pendingSend struct {
 	done   chan struct{}
-	hangUp context.CancelFunc
+	cancel context.CancelFunc
 	out    string
 	err    error
 }
 
 func cmdBegin(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 5, "begin TAG send NAME METHOD PATH ...")
-	req, err := request(ts, args[2:])
+	requireArgs(ts, args, 5, "begin TAG send NAME METHOD PATH ...")
+	req, err := newRequest(ts, args[2:])
 	ts.Check(err)
-	ctx, hangUp := context.WithCancel(req.Context())
-	b := &begun{done: make(chan struct{}), hangUp: hangUp}
-	fleetOf(ts).begun[begunKey{args[0]}] = b
+	ctx, cancel := context.WithCancel(req.Context())
+	pending := &pendingSend{done: make(chan struct{}), cancel: cancel}
+	fleetOf(ts).pendingSends[sendTag{args[0]}] = pending
 	go func() {
-		defer close(b.done)
-		defer hangUp()
-		b.out, b.err = exchange(req.WithContext(ctx))
+		defer close(pending.done)
+		defer cancel()
+		pending.out, pending.err = sendRequest(req.WithContext(ctx))
 	}()
 }
 
 func cmdFinish(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "finish TAG")
-	b := begunAs(ts, args[0])
-	<-b.done
-	ts.Check(b.err)
-	_, _ = io.WriteString(ts.Stdout(), b.out[:min(len(b.out), shown)])
+	requireArgs(ts, args, 1, "finish TAG")
+	pending := pendingSendOf(ts, args[0])
+	<-pending.done
+	ts.Check(pending.err)
+	_, _ = io.WriteString(ts.Stdout(), pending.out[:min(len(pending.out), maxShownBytes)])
 }
 
-func begunAs(ts *testscript.TestScript, tag string) *begun {
-	b := fleetOf(ts).begun[begunKey{tag}]
-	if b == nil {
-		ts.Fatalf("nothing begun as %q", tag)
+func pendingSendOf(ts *testscript.TestScript, tag string) *pendingSend {
+	pending := fleetOf(ts).pendingSends[sendTag{tag}]
+	if pending == nil {
+		ts.Fatalf("no send was begun with tag %q", tag)
 	}
-	return b
+	return pending
 }
 
-// shown is how much of an answer goes to the log.
-const shown = 1000
+// maxShownBytes limits how much of a response is printed.
+const maxShownBytes = 1000
 
 func cmdAwaitStatus(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "awaitstatus PATTERN NAME...")
+	requireArgs(ts, args, 2, "awaitstatus PATTERN NAME...")
 	pattern, err := regexp.Compile(args[0])
 	ts.Check(err)
 	for _, name := range args[1:] {
-		wait(ts, args[0], func() (string, bool) {
+		waitFor(ts, args[0], func() (string, bool) {
 			status := statusOf(ts, name)
 			return status, pattern.MatchString(status)
 		})
@@ -92,18 +92,18 @@
 }
 
 func cmdNever(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 5, "never DURATION TEXT send NAME METHOD PATH ...")
-	length, err := time.ParseDuration(args[0])
+	requireArgs(ts, args, 5, "never DURATION TEXT send NAME METHOD PATH ...")
+	duration, err := time.ParseDuration(args[0])
 	ts.Check(err)
-	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(awaitLook) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(pollInterval) {
 		if out, err := send(ts, args[3:]); err == nil && strings.Contains(out, args[1]) {
-			ts.Fatalf("answered %q", out)
+			ts.Fatalf("the text that must never appear is in the output: %q", out)
 		}
 	}
 }
 
 func cmdSpread(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 5, "spread COUNT send NAME METHOD PATH ...")
+	requireArgs(ts, args, 5, "spread COUNT send NAME METHOD PATH ...")
 	count, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	for range count {
@@ -114,15 +114,15 @@
 }
 
 func cmdSteady(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 6, "steady COUNT TEXT send NAME METHOD PATH ...")
+	requireArgs(ts, args, 6, "steady COUNT TEXT send NAME METHOD PATH ...")
 	count, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	row := 0
-	wait(ts, args[1], func() (string, bool) {
+	matches := 0
+	waitFor(ts, args[1], func() (string, bool) {
 		out, err := send(ts, args[3:])
-		if row++; err != nil || !strings.Contains(out, args[1]) {
-			row = 0
+		if matches++; err != nil || !strings.Contains(out, args[1]) {
+			matches = 0
 		}
-		return out, row == count
+		return out, matches == count
 	})
 }
--- a/internal/proof/scenario/commands_test.go
+++ b/internal/proof/scenario/commands_test.go
@@ -33,50 +33,50 @@
 
 func commands() map[string]command {
 	all := map[string]command{
-		"platform": cmdPlatform, // platform [NAME]: start the stand-in platform, or a replica of it, which gets what is published from then on
+		"platform": cmdPlatform, // platform [NAME]: start the stand-in platform or a replica of it, which receives what is published from then on
 		"host":     cmdHost,     // host NAME SERVICE ZONE [region=R] [platform=REPLICA] [flag=value] [up:flag=value]: start an upstream with its daemon
 		"hosts":    cmdHosts,    // hosts [NAME=leaving] [NAME=gone]: publish the hosts list
 		"publish":  cmdPublish,  // publish LIST FILE
 		"keys":     cmdKeys,     // keys ORGANISATION=KEY...: publish exactly these keys
-		"mode":     cmdMode,     // mode up|down|stale [NAME]: how the platform, or a replica, answers
+		"mode":     cmdMode,     // mode up|down|stale [NAME]: set how the platform, or a replica, answers
 		"ready":    cmdReady,    // ready NAME...: wait until the daemons are ready
-		"send":     cmdSend,     // send NAME METHOD PATH [key=K] [body=B] [bytes=N] [timeout=D] [header:NAME=VALUE, @new for a fresh key]: print status, outcome, reason, body
-		"await":    cmdAwait,    // await TEXT send...: repeat a send until its output has TEXT
+		"send":     cmdSend,     // send NAME METHOD PATH [key=K] [body=B] [bytes=N] [timeout=D] [header:NAME=VALUE, @new for a fresh key]: print status, outcome, Retry-After, size and body
+		"await":    cmdAwait,    // await TEXT send...: repeat a send until its output has TEXT, and print it
 		// crash, shutdown, pause and resume take NAME, NAME.upstream or platform.
-		"crash":    signaller(syscall.SIGKILL, true),
-		"shutdown": signaller(syscall.SIGTERM, true),
-		"pause":    signaller(syscall.SIGSTOP, false),
-		"resume":   signaller(syscall.SIGCONT, false),
+		"crash":    signalCommand(syscall.SIGKILL, true),
+		"shutdown": signalCommand(syscall.SIGTERM, true),
+		"pause":    signalCommand(syscall.SIGSTOP, false),
+		"resume":   signalCommand(syscall.SIGCONT, false),
 		"restart":  cmdRestart, // restart NAME: start a daemon that was stopped or killed, or an empty platform
-		// cut, drop and heal take two hosts, or a host and platform or a replica, a region standing for its
-		// hosts; what is cut comes after heal, what is dropped never.
-		"cut":      connector(holds),
-		"drop":     connector(drops),
-		"heal":     connector(passes),
-		"slow":     cmdSlow,     // slow NAME MILLISECONDS: the upstream's latency
-		"runs":     cmdRuns,     // runs: print the number of runs over all upstreams, and the most for one request
+		// cut, drop and heal take two hosts, or a host and the platform or a replica; a region stands for all its hosts.
+		// Bytes sent during a cut are delivered after heal, dropped ones never.
+		"cut":      deliveryCommand(holdBytes),
+		"drop":     deliveryCommand(dropBytes),
+		"heal":     deliveryCommand(deliverBytes),
+		"slow":     cmdSlow,     // slow NAME MILLISECONDS: set the upstream's latency
+		"runs":     cmdRuns,     // runs: print the number of runs at all upstreams, and the maximum for one request
 		"status":   cmdStatus,   // status NAME: print /statusz
-		"garbage":  cmdGarbage,  // garbage NAME callers|peers TEXT: send raw bytes (Go escapes) and wait for the end
-		"forge":    cmdForge,    // forge NAME bare|guess ORGANISATION: hand a request on at the peers' port as a daemon would
-		"heads":    cmdHeads,    // heads NAME trickle|flood COUNT: open connections whose requests' heads never end
-		"headsend": cmdHeadsEnd, // headsend: wait for them and print how many were left open
+		"garbage":  cmdGarbage,  // garbage NAME callers|peers TEXT: send raw bytes (Go escapes) and wait until the daemon closes the connection
+		"forge":    cmdForge,    // forge NAME bare|guess ORGANISATION: send a request to the peers' port as a daemon would, without its secret
+		"heads":    cmdHeads,    // heads NAME trickle|flood COUNT: open connections that send endless request heads
+		"headsend": cmdHeadsEnd, // headsend: wait for the connections of heads and print how many the daemon didn't close
 		"sleep":    cmdSleep,    // sleep DURATION
-		"flood":    cmdFlood,    // flood NAME KEY COUNT PATH...: POST to all paths at once and print the outcomes of each
-		"program":  cmdProgram,  // program CODE NAME ARGUMENT...: run a program to its end and expect its exit code; @HOST stands for an operators' address, %HOST for a log, @platform for the platform
-		"direct":   cmdDirect,   // direct NAME METHOD PATH [body=B]: send to the upstream past its daemon
-		"big":      cmdBig,      // big FILE: write a value of 2 MB, twice what the platform holds
+		"flood":    cmdFlood,    // flood NAME KEY COUNT PATH [COUNT PATH]...: send COUNT concurrent POST requests to each path and print the outcomes by path
+		"program":  cmdProgram,  // program CODE NAME ARGUMENT...: run a program and expect its exit code; @HOST stands for an operators' address, %HOST for a log file, @platform for the platform's address
+		"direct":   cmdDirect,   // direct NAME METHOD PATH [body=B]: send to the upstream without its daemon
+		"big":      cmdBig,      // big FILE: write a file of 2 MB, twice the maximum size of a list
 	}
-	maps.Copy(all, truthCommands())
+	maps.Copy(all, consistencyCommands())
 	maps.Copy(all, eventCommands())
 	return all
 }
 
 func cmdPlatform(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(fleetOf(ts).startPlatform(platformNamed(args)))
+	ts.Check(fleetOf(ts).startPlatform(platformNameOf(args)))
 }
 
-// platformNamed returns the name of the platform that a command is for.
-func platformNamed(args []string) string {
+// platformNameOf returns the name of the platform that a command is for.
+func platformNameOf(args []string) string {
 	if len(args) == 0 {
 		return platformName
 	}
@@ -84,25 +84,25 @@
 }
 
 func cmdHost(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "host NAME SERVICE ZONE [flag=value]")
-	ts.Check(fleetOf(ts).add(args[0], args[1], args[2], args[3:]))
+	requireArgs(ts, args, 3, "host NAME SERVICE ZONE [flag=value]")
+	ts.Check(fleetOf(ts).addHost(args[0], args[1], args[2], args[3:]))
 }
 
 func cmdHosts(ts *testscript.TestScript, _ bool, args []string) {
 	f := fleetOf(ts)
-	marks := pairs(ts, args)
+	changes := parseOptions(ts, args)
 	var list lists.Hosts
-	for _, name := range f.order {
-		if marks[name] == "gone" {
+	for _, name := range f.hostNames {
+		if changes[name] == "gone" {
 			continue
 		}
 		h := f.hosts[name]
 		list.Hosts = append(list.Hosts, lists.Host{
 			Host: name, Service: h.service, Region: h.region, Zone: h.zone,
-			Peer: f.address(relayOffset+h.number, peersPort), Leaving: marks[name] == "leaving",
+			Peer: f.address(relayOffset+h.number, peersPort), Leaving: changes[name] == "leaving",
 		})
 	}
-	put(ts, lists.KindHosts, list)
+	publishValue(ts, lists.KindHosts, list)
 }
 
 func cmdKeys(ts *testscript.TestScript, _ bool, args []string) {
@@ -114,23 +114,23 @@
 			ID: fmt.Sprintf("%s-%d", organisation, i), Organisation: organisation, SHA256: hex.EncodeToString(hash[:]),
 		})
 	}
-	put(ts, lists.KindKeys, list)
+	publishValue(ts, lists.KindKeys, list)
 }
 
-func put(ts *testscript.TestScript, kind lists.Kind, value any) {
+func publishValue(ts *testscript.TestScript, kind lists.Kind, value any) {
 	raw, err := json.Marshal(value)
 	ts.Check(err)
 	file := ts.MkAbs(kind.String() + ".published.json")
 	ts.Check(os.WriteFile(file, raw, 0o644))
-	publish(ts, kind.String(), file)
+	publishFile(ts, kind.String(), file)
 }
 
 func cmdPublish(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "publish LIST FILE")
-	publish(ts, args[0], ts.MkAbs(args[1]))
+	requireArgs(ts, args, 2, "publish LIST FILE")
+	publishFile(ts, args[0], ts.MkAbs(args[1]))
 }
 
-func publish(ts *testscript.TestScript, list, file string) {
+func publishFile(ts *testscript.TestScript, list, file string) {
 	f := fleetOf(ts)
 	for _, p := range f.platforms {
 		ts.Check(traffic.Act(context.Background(), http.MethodPut, "http://"+f.address(p.number, platformPort).String()+"/v1/lists/"+list, file))
@@ -138,17 +138,17 @@
 }
 
 func cmdMode(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "mode up|down|stale [NAME]")
+	requireArgs(ts, args, 1, "mode up|down|stale [NAME]")
 	f := fleetOf(ts)
-	p := f.platformOf(platformNamed(args[1:]))
+	p := f.platformByName(platformNameOf(args[1:]))
 	if p == nil {
-		ts.Fatalf("no platform %q", args[1:])
+		ts.Fatalf("no platform or replica is named %q", args[1:])
 	}
 	ts.Check(traffic.Act(context.Background(), http.MethodPost, "http://"+f.address(p.number, platformPort).String()+"/v1/mode/"+args[0], ""))
 }
 
 func cmdReady(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(fleetOf(ts).ready(args...))
+	ts.Check(fleetOf(ts).awaitReady(args...))
 }
 
 func cmdSend(ts *testscript.TestScript, _ bool, args []string) {
@@ -158,8 +158,8 @@
 }
 
 func cmdAwait(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 5, "await TEXT send NAME METHOD PATH ...")
-	out := wait(ts, args[0], func() (string, bool) {
+	requireArgs(ts, args, 5, "await TEXT send NAME METHOD PATH ...")
+	out := waitFor(ts, args[0], func() (string, bool) {
 		out, err := send(ts, args[2:])
 		if err != nil {
 			return err.Error(), false
@@ -169,29 +169,29 @@
 	_, _ = io.WriteString(ts.Stdout(), out)
 }
 
-// freshKey stands for another idempotency key with each sending.
+// freshKey stands for a new idempotency key in each request.
 const freshKey = "@new"
 
-// sendSlack is added to a request's own timeout, so that a late answer is seen as one.
+// sendSlack is added to a request's own timeout, so that a late response is still received.
 const sendSlack = 5 * time.Second
 
 func send(ts *testscript.TestScript, args []string) (string, error) {
-	req, err := request(ts, args)
+	req, err := newRequest(ts, args)
 	if err != nil {
 		return "", err
 	}
-	return exchange(req)
+	return sendRequest(req)
 }
 
-// request builds what send sends; its context ends on its own.
-func request(ts *testscript.TestScript, args []string) (*http.Request, error) {
-	need(ts, args, 3, "send NAME METHOD PATH [key=K] [body=B] ...")
+// newRequest returns the request of a send command; its context ends sendSlack after the request's timeout.
+func newRequest(ts *testscript.TestScript, args []string) (*http.Request, error) {
+	requireArgs(ts, args, 3, "send NAME METHOD PATH [key=K] [body=B] ...")
 	f := fleetOf(ts)
 	h := f.hosts[args[0]]
 	if h == nil {
 		ts.Fatalf("no host %q", args[0])
 	}
-	options := pairs(ts, args[3:])
+	options := parseOptions(ts, args[3:])
 	body := options["body"]
 	if n, err := strconv.Atoi(options["bytes"]); err == nil {
 		body = strings.Repeat("x", n)
@@ -222,7 +222,7 @@
 	return req, nil
 }
 
-func exchange(req *http.Request) (string, error) {
+func sendRequest(req *http.Request) (string, error) {
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return "", err
@@ -236,24 +236,24 @@
 		res.Header.Get("Retry-After"), len(raw), bytes.TrimSpace(raw)), nil
 }
 
-func signaller(s syscall.Signal, ends bool) command {
+func signalCommand(s syscall.Signal, waitForEnd bool) command {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
-		need(ts, args, 1, "NAME, NAME.upstream or platform")
+		requireArgs(ts, args, 1, "NAME, NAME.upstream or platform")
 		p := processOf(ts, args[0])
 		ts.Check(p.signal(s))
-		if !ends {
+		if !waitForEnd {
 			return
 		}
 		<-p.done
 		if s == syscall.SIGTERM && p.err != nil {
-			ts.Fatalf("%s did not shut down: %v", args[0], p.err)
+			ts.Fatalf("%s did not exit with code 0 after SIGTERM: %v", args[0], p.err)
 		}
 	}
 }
 
 func processOf(ts *testscript.TestScript, name string) *process {
 	f := fleetOf(ts)
-	if p := f.platformOf(name); p != nil {
+	if p := f.platformByName(name); p != nil {
 		return p.process
 	}
 	base, isUpstream := strings.CutSuffix(name, ".upstream")
@@ -268,9 +268,9 @@
 }
 
 func cmdRestart(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "restart NAME or NAME.upstream")
+	requireArgs(ts, args, 1, "restart NAME or NAME.upstream")
 	f := fleetOf(ts)
-	if p := f.platformOf(args[0]); p != nil {
+	if p := f.platformByName(args[0]); p != nil {
 		ts.Check(f.runPlatform(p))
 		return
 	}
@@ -281,12 +281,12 @@
 	ts.Check(f.startDaemon(f.hosts[args[0]]))
 }
 
-func connector(d delivery) command {
+func deliveryCommand(d delivery) command {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
-		need(ts, args, 2, "A B: two hosts, or a host and platform")
+		requireArgs(ts, args, 2, "A B: two hosts, or a host and platform")
 		f := fleetOf(ts)
-		for _, a := range f.named(args[0]) {
-			for _, b := range f.named(args[1]) {
+		for _, a := range f.resolveNames(args[0]) {
+			for _, b := range f.resolveNames(args[1]) {
 				f.relays.set(a, b, d)
 			}
 		}
@@ -294,7 +294,7 @@
 }
 
 func cmdSlow(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "slow NAME MILLISECONDS")
+	requireArgs(ts, args, 2, "slow NAME MILLISECONDS")
 	f := fleetOf(ts)
 	url := fmt.Sprintf("http://%s/standin/latency/%s", f.address(f.hosts[args[0]].number, upstreamPort), args[1])
 	ts.Check(traffic.Act(context.Background(), http.MethodPost, url, ""))
@@ -306,8 +306,8 @@
 
 func runsText(ts *testscript.TestScript) string {
 	f := fleetOf(ts)
-	total, most := 0, map[string]int{}
-	for _, name := range f.order {
+	total, runsByID := 0, map[string]int{}
+	for _, name := range f.hostNames {
 		res, err := http.Get(fmt.Sprintf("http://%s/standin/runs", f.address(f.hosts[name].number, upstreamPort)))
 		ts.Check(err)
 		runs := map[string]int{}
@@ -315,18 +315,18 @@
 		_ = res.Body.Close()
 		for id, n := range runs {
 			total += n
-			most[id] += n
+			runsByID[id] += n
 		}
 	}
 	highest := 0
-	for _, n := range most {
+	for _, n := range runsByID {
 		highest = max(highest, n)
 	}
 	return fmt.Sprintf("total=%d most=%d\n", total, highest)
 }
 
 func cmdStatus(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "status NAME")
+	requireArgs(ts, args, 1, "status NAME")
 	f := fleetOf(ts)
 	res, err := http.Get(fmt.Sprintf("http://%s/statusz", f.address(f.hosts[args[0]].number, operatorsPort)))
 	ts.Check(err)
@@ -335,7 +335,7 @@
 }
 
 func cmdGarbage(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "garbage NAME callers|peers TEXT")
+	requireArgs(ts, args, 3, "garbage NAME callers|peers TEXT")
 	f := fleetOf(ts)
 	port := uint16(callersPort)
 	if args[1] == "peers" {
@@ -348,25 +348,25 @@
 	defer func() { _ = conn.Close() }()
 	_, err = conn.Write([]byte(text))
 	ts.Check(err)
-	ts.Check(conn.SetReadDeadline(time.Now().Add(eventTime)))
+	ts.Check(conn.SetReadDeadline(time.Now().Add(eventTimeout)))
 	raw, err := io.ReadAll(conn)
 	fmt.Fprintf(ts.Stdout(), "%q closed=%v\n", raw, err == nil)
 }
 
 func cmdSleep(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "sleep DURATION")
+	requireArgs(ts, args, 1, "sleep DURATION")
 	d, err := time.ParseDuration(args[0])
 	ts.Check(err)
 	time.Sleep(d)
 }
 
-func need(ts *testscript.TestScript, args []string, count int, usage string) {
+func requireArgs(ts *testscript.TestScript, args []string, count int, usage string) {
 	if len(args) < count {
 		ts.Fatalf("usage: %s", usage)
 	}
 }
 
-func pairs(ts *testscript.TestScript, args []string) map[string]string {
+func parseOptions(ts *testscript.TestScript, args []string) map[string]string {
 	out := map[string]string{}
 	for _, arg := range args {
 		name, value, ok := strings.Cut(arg, "=")
--- a/internal/proof/scenario/doc.go
+++ b/internal/proof/scenario/doc.go
@@ -1,5 +1,5 @@
-// Package scenario proves the system's promises with scripts that drive real
-// processes through kills, pauses, cuts and platform outages.
+// Package scenario tests the system's guarantees with scripts that run real
+// processes and inject crashes, pauses, network partitions and platform outages.
 //
 // The scripts are testdata/*.txtar in the language of testscript, with the
 // commands listed in commands_test.go.
--- a/internal/proof/scenario/events_test.go
+++ b/internal/proof/scenario/events_test.go
@@ -18,80 +18,80 @@
 	"github.com/foxtailhook/foxtailhook/internal/load/traffic"
 )
 
-// eventTime bounds a wait for what must come. It is there for a test that would else
-// hang, and so long that no verdict depends on how fast the machine is.
-const eventTime = 2 * time.Minute
+// eventTimeout limits each wait for an expected event. It only keeps a failing test from
+// hanging, and is so long that no result depends on the speed of the machine.
+const eventTimeout = 2 * time.Minute
 
-// eventCommands let a script go on when something has happened, in place of when it should have.
+// eventCommands let a script wait for an event instead of a fixed time.
 func eventCommands() map[string]command {
 	return map[string]command{
-		"hold":      cmdHold,      // hold NAME [BODY]: the upstream's runs, those of the body alone if one is given, last until release
-		"release":   cmdRelease,   // release NAME
-		"abandon":   cmdAbandon,   // abandon TAG: hang up on what was begun; an answer that came before is a failure
+		"hold":      cmdHold,      // hold NAME [BODY]: keep the upstream's runs, or only those with the body, from ending until release
+		"release":   cmdRelease,   // release NAME: end the hold
+		"abandon":   cmdAbandon,   // abandon TAG: cancel the request that was begun; fail if it was answered before
 		"awaitruns": cmdAwaitRuns, // awaitruns PATTERN: wait until the output of runs matches
 		"awaitlog":  cmdAwaitLog,  // awaitlog NAME PATTERN: wait until the daemon's log matches
-		"heldflood": cmdHeldFlood, // heldflood PLACES NAME KEY COUNT PATH...: as flood, with the upstream held until all but so many are answered
+		"heldflood": cmdHeldFlood, // heldflood PLACES NAME KEY COUNT PATH...: as flood, with the upstream held until all but PLACES requests are answered
 	}
 }
 
-// wait repeats until it holds, and fails with what was seen last.
-func wait(ts *testscript.TestScript, what string, holds func() (seen string, ok bool)) string {
+// waitFor polls until the condition holds and returns what was seen; after eventTimeout the script fails with what was seen last.
+func waitFor(ts *testscript.TestScript, what string, condition func() (seen string, ok bool)) string {
 	seen := ""
-	for end := time.Now().Add(eventTime); time.Now().Before(end); time.Sleep(awaitLook) {
+	for end := time.Now().Add(eventTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		var ok bool
-		if seen, ok = holds(); ok {
+		if seen, ok = condition(); ok {
 			return seen
 		}
 	}
-	ts.Fatalf("no %q within %s; the last was %s", what, eventTime, seen)
+	ts.Fatalf("no %q within %s; the last was %s", what, eventTimeout, seen)
 	return ""
 }
 
-func (f *fleet) upstream(name, path string) string {
+func (f *fleet) upstreamURL(name, path string) string {
 	return fmt.Sprintf("http://%s%s", f.address(f.hosts[name].number, upstreamPort), path)
 }
 
 func cmdHold(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "hold NAME [BODY]")
+	requireArgs(ts, args, 1, "hold NAME [BODY]")
 	query := ""
 	if len(args) > 1 {
 		query = "?body=" + url.QueryEscape(args[1])
 	}
-	ts.Check(traffic.Act(context.Background(), http.MethodPost, fleetOf(ts).upstream(args[0], "/standin/hold"+query), ""))
+	ts.Check(traffic.Act(context.Background(), http.MethodPost, fleetOf(ts).upstreamURL(args[0], "/standin/hold"+query), ""))
 }
 
 func cmdRelease(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "release NAME")
+	requireArgs(ts, args, 1, "release NAME")
 	ts.Check(fleetOf(ts).release(args[0]))
 }
 
 func (f *fleet) release(name string) error {
-	return traffic.Act(context.Background(), http.MethodPost, f.upstream(name, "/standin/release"), "")
+	return traffic.Act(context.Background(), http.MethodPost, f.upstreamURL(name, "/standin/release"), "")
 }
 
 func cmdAbandon(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "abandon TAG")
-	b := begunAs(ts, args[0])
-	b.hangUp()
-	<-b.done
-	if b.err == nil {
-		ts.Fatalf("an answer came before the caller hung up: %s", b.out)
+	requireArgs(ts, args, 1, "abandon TAG")
+	pending := pendingSendOf(ts, args[0])
+	pending.cancel()
+	<-pending.done
+	if pending.err == nil {
+		ts.Fatalf("the request was answered before it was cancelled: %s", pending.out)
 	}
 }
 
 func cmdAwaitRuns(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "awaitruns PATTERN")
+	requireArgs(ts, args, 1, "awaitruns PATTERN")
 	pattern := regexp.MustCompile(args[0])
-	wait(ts, args[0], func() (string, bool) {
+	waitFor(ts, args[0], func() (string, bool) {
 		out := runsText(ts)
 		return out, pattern.MatchString(out)
 	})
 }
 
 func cmdAwaitLog(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "awaitlog NAME PATTERN")
+	requireArgs(ts, args, 2, "awaitlog NAME PATTERN")
 	pattern := regexp.MustCompile(args[1])
-	wait(ts, args[1], func() (string, bool) {
+	waitFor(ts, args[1], func() (string, bool) {
 		raw, _ := os.ReadFile(filepath.Join(fleetOf(ts).dir, args[0]+".log"))
 		last := raw[bytes.LastIndexByte(bytes.TrimSpace(raw), '\n')+1:]
 		return string(last), pattern.Match(raw)
@@ -99,20 +99,20 @@
 }
 
 func cmdHeldFlood(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 5, "heldflood PLACES NAME KEY COUNT PATH...")
-	places, err := strconv.Atoi(args[0])
+	requireArgs(ts, args, 5, "heldflood PLACES NAME KEY COUNT PATH...")
+	capacity, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	f, name := fleetOf(ts), args[1]
 	cmdHold(ts, false, args[1:2])
-	var missing atomic.Int64
-	missing.Store(int64(-places))
+	var answersUntilRelease atomic.Int64
+	answersUntilRelease.Store(int64(-capacity))
 	for i := 3; i < len(args); i += 2 {
 		count, err := strconv.Atoi(args[i])
 		ts.Check(err)
-		missing.Add(int64(count))
+		answersUntilRelease.Add(int64(count))
 	}
 	flood(ts, args[1:], func() {
-		if missing.Add(-1) == 0 {
+		if answersUntilRelease.Add(-1) == 0 {
 			_ = f.release(name)
 		}
 	})
--- a/internal/proof/scenario/fleet_test.go
+++ b/internal/proof/scenario/fleet_test.go
@@ -18,8 +18,8 @@
 	"github.com/pkg/errors"
 )
 
-// Each scenario has a loopback network of its own: host N has the address
-// 127.net.scenario.N, and its relay, through which the others reach it, 127.net.scenario.100+N.
+// Each scenario has its own loopback network: host N has the address 127.net.scenario.N,
+// and its relay, through which the others connect to it, 127.net.scenario.(100+N).
 const (
 	relayOffset  = 100
 	platformHost = 250
@@ -31,64 +31,64 @@
 	platformPort  = 9000
 )
 
-var scenarios atomic.Int32
+var scenarioCount atomic.Int32
 
 const (
 	reserveAddress = 254
 	reservePort    = 9
 )
 
-// reserved stays open: a listener that nobody refers to is closed by the collector.
+// reserved keeps the listener referenced: the garbage collector would close it.
 var reserved net.Listener
 
-// network returns the second byte of the addresses of this run. It is kept by a
-// listener for as long as the run lasts: by the process id alone, two runs on one
-// machine would now and then start their daemons on the same addresses.
+// network returns the second byte of the addresses of this test run. A listener
+// reserves it for the whole run: if it were derived from the process id alone, two
+// runs on one machine could start their daemons on the same addresses.
 var network = sync.OnceValue(func() byte {
-	for try := range 250 {
-		n := byte(1 + (os.Getpid()+try)%250)
-		kept := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, n, 255, reserveAddress}), reservePort)
-		if l, err := net.Listen("tcp", kept.String()); err == nil {
+	for offset := range 250 {
+		n := byte(1 + (os.Getpid()+offset)%250)
+		reservation := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, n, 255, reserveAddress}), reservePort)
+		if l, err := net.Listen("tcp", reservation.String()); err == nil {
 			reserved = l
 			return n
 		}
 	}
-	panic("scenario: no loopback network is free")
+	panic("scenario: none of 250 loopback networks is free")
 })
 
-// fleet is the processes and the network of one scenario.
+// fleet holds the processes and the network of one scenario.
 type fleet struct {
-	bin      string
-	dir      string
-	net      byte
-	scenario byte
-	hosts    map[string]*host
-	order    []string
-	relays   *relays
+	bin       string
+	dir       string
+	net       byte
+	scenario  byte
+	hosts     map[string]*host
+	hostNames []string
+	relays    *relays
 	// platforms are the platform and its replicas, in the order of their start.
-	platforms []*standinPlatform
-	load      *load
-	keyed     *load
-	paced     *load
-	heads     *heads
-	begun     map[begunKey]*begun
+	platforms    []*standinPlatform
+	load         *load
+	keyed        *load
+	paced        *load
+	heads        *endlessHeads
+	pendingSends map[sendTag]*pendingSend
 }
 
 // host is one upstream host: a daemon and the stand-in upstream beside it.
 type host struct {
-	name     string
-	service  string
-	region   string
-	zone     string
-	platform string
-	number   byte
-	flags    []string
-	upFlags  []string
-	daemon   *process
-	upstream *process
+	name          string
+	service       string
+	region        string
+	zone          string
+	platform      string
+	number        byte
+	flags         []string
+	upstreamFlags []string
+	daemon        *process
+	upstream      *process
 }
 
-// process is one started program.
+// process is a started program.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
@@ -97,9 +97,9 @@
 
 func newFleet(bin, dir string) *fleet {
 	f := &fleet{
-		bin: bin, dir: dir, hosts: map[string]*host{}, begun: map[begunKey]*begun{},
+		bin: bin, dir: dir, hosts: map[string]*host{}, pendingSends: map[sendTag]*pendingSend{},
 		net:      network(),
-		scenario: byte(1 + scenarios.Add(1)%250),
+		scenario: byte(1 + scenarioCount.Add(1)%250),
 	}
 	f.relays = newRelays(f)
 	return f
@@ -135,8 +135,8 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// end stops a process for good, also a paused one, and waits for it.
-func (p *process) end() {
+// kill kills a process, also a paused one, and waits for its end.
+func (p *process) kill() {
 	if p == nil {
 		return
 	}
@@ -144,26 +144,26 @@
 	<-p.done
 }
 
-// add starts a host with its upstream; flags that begin with "up:" go to the upstream.
-func (f *fleet) add(name, service, zone string, flags []string) error {
-	h := &host{name: name, service: service, region: "default", zone: zone, platform: platformName, number: byte(len(f.order) + 1)}
+// addHost starts a host's upstream and daemon; flags that begin with "up:" go to the upstream.
+func (f *fleet) addHost(name, service, zone string, flags []string) error {
+	h := &host{name: name, service: service, region: "default", zone: zone, platform: platformName, number: byte(len(f.hostNames) + 1)}
 	for _, flag := range flags {
 		if rest, ok := strings.CutPrefix(flag, "up:"); ok {
-			h.upFlags = append(h.upFlags, "-"+rest)
+			h.upstreamFlags = append(h.upstreamFlags, "-"+rest)
 		} else if rest, ok := strings.CutPrefix(flag, "region="); ok {
 			h.region = rest
 		} else if rest, ok := strings.CutPrefix(flag, "platform="); ok {
 			h.platform = rest
 		} else {
-			h.flags = append(h.flags, "-"+f.resolve(flag))
+			h.flags = append(h.flags, "-"+f.expandPeers(flag))
 		}
 	}
-	if f.platformOf(h.platform) == nil {
+	if f.platformByName(h.platform) == nil {
 		return errors.Errorf("scenario: no platform %q", h.platform)
 	}
-	f.relays.know(f.address(h.number, 0).Addr(), name)
+	f.relays.register(f.address(h.number, 0).Addr(), name)
 	f.hosts[name] = h
-	f.order = append(f.order, name)
+	f.hostNames = append(f.hostNames, name)
 	if err := f.relays.listen(relayOffset+h.number, peersPort, f.address(h.number, peersPort), name); err != nil {
 		return err
 	}
@@ -173,8 +173,8 @@
 	return f.startDaemon(h)
 }
 
-// resolve puts the peer address of a host, as the others reach it, for each @NAME.
-func (f *fleet) resolve(flag string) string {
+// expandPeers replaces each @NAME by the address of the host's relay, through which its peers connect.
+func (f *fleet) expandPeers(flag string) string {
 	for name, h := range f.hosts {
 		flag = strings.ReplaceAll(flag, "@"+name, f.address(relayOffset+h.number, peersPort).String())
 	}
@@ -186,7 +186,7 @@
 		"upstream", "-listen", f.address(h.number, upstreamPort).String(),
 		"-daemon", f.address(h.number, callersPort).String(), "-host", h.name, "-service", h.service,
 	}
-	p, err := f.start(h.name+".upstream.log", "standin", append(args, h.upFlags...)...)
+	p, err := f.start(h.name+".upstream.log", "standin", append(args, h.upstreamFlags...)...)
 	h.upstream = p
 	return err
 }
@@ -199,7 +199,7 @@
 		"-advertise", f.address(relayOffset+h.number, peersPort).String(),
 		"-operators", f.address(h.number, operatorsPort).String(),
 		"-upstream", f.address(h.number, upstreamPort).String(),
-		"-platform", f.address(f.platformOf(h.platform).number+1, platformPort).String(),
+		"-platform", f.address(f.platformByName(h.platform).number+1, platformPort).String(),
 		"-watch", "2s", "-leave-time", "500ms",
 	}
 	p, err := f.start(h.name+".log", "foxtailhook", append(args, h.flags...)...)
@@ -207,11 +207,11 @@
 	return err
 }
 
-const awaitLook = 20 * time.Millisecond
+const pollInterval = 20 * time.Millisecond
 
-// await polls a URL until it answers 200.
-func (f *fleet) await(url string) error {
-	for limit := time.Now().Add(eventTime); time.Now().Before(limit); time.Sleep(awaitLook) {
+// awaitOK polls a URL until it answers 200.
+func (f *fleet) awaitOK(url string) error {
+	for deadline := time.Now().Add(eventTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		res, err := http.Get(url)
 		if err != nil {
 			continue
@@ -221,48 +221,49 @@
 			return nil
 		}
 	}
-	return errors.Errorf("scenario: %s did not answer 200 within %s", url, eventTime)
+	return errors.Errorf("scenario: %s did not answer 200 within %s", url, eventTimeout)
 }
 
-func (f *fleet) ready(names ...string) error {
+func (f *fleet) awaitReady(names ...string) error {
 	for _, name := range names {
 		h, ok := f.hosts[name]
 		if !ok {
 			return errors.Errorf("scenario: no host %q", name)
 		}
-		if err := f.await(fmt.Sprintf("http://%s/healthz", f.address(h.number, operatorsPort))); err != nil {
+		if err := f.awaitOK(fmt.Sprintf("http://%s/healthz", f.address(h.number, operatorsPort))); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *fleet) end() {
-	for _, name := range f.order {
-		f.hosts[name].daemon.end()
-		f.hosts[name].upstream.end()
+func (f *fleet) stop() {
+	for _, name := range f.hostNames {
+		f.hosts[name].daemon.kill()
+		f.hosts[name].upstream.kill()
 	}
 	for _, p := range f.platforms {
-		p.process.end()
+		p.process.kill()
 	}
-	f.relays.end()
+	f.relays.stop()
 }
 
-var crashed = regexp.MustCompile(`(?m)^(panic: |fatal error: |WARNING: DATA RACE)`)
+var crashPattern = regexp.MustCompile(`(?m)^(panic: |fatal error: |WARNING: DATA RACE)`)
 
-// crash returns what a process wrote as it crashed; a crash in the middle of a leave passes for its end.
-func (f *fleet) crash() string {
+// crashOutput returns what a crashed process wrote to its log, or "" if none crashed. Without this check, a crash while a
+// daemon shuts down would pass for its exit.
+func (f *fleet) crashOutput() string {
 	logs, _ := filepath.Glob(filepath.Join(f.dir, "*.log"))
 	for _, log := range logs {
 		raw, err := os.ReadFile(log)
 		if err != nil {
 			continue
 		}
-		if at := crashed.FindIndex(raw); at != nil {
-			return filepath.Base(log) + ": " + string(raw[at[0]:min(at[0]+crashSize, len(raw))])
+		if at := crashPattern.FindIndex(raw); at != nil {
+			return filepath.Base(log) + ": " + string(raw[at[0]:min(at[0]+maxCrashBytes, len(raw))])
 		}
 	}
 	return ""
 }
 
-const crashSize = 4000
+const maxCrashBytes = 4000
--- a/internal/proof/scenario/flood_test.go
+++ b/internal/proof/scenario/flood_test.go
@@ -18,76 +18,77 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// flooded counts the answers of one path.
-type flooded struct {
+// answerCounts counts the responses of one path.
+type answerCounts struct {
 	mu       sync.Mutex
 	outcomes map[string]int
-	// backless are refusals that don't tell when to come back.
-	backless int
-	reasons  map[string]int
+	// withoutRetryAfter counts responses with the outcome notRun that have no Retry-After header.
+	withoutRetryAfter int
+	reasons           map[string]int
 }
 
-// cmdFlood is flood NAME KEY COUNT PATH...: POST to all paths at once, and print
-// the outcomes of each, then the reasons of what was not answered whole.
+// cmdFlood is flood NAME KEY COUNT PATH [COUNT PATH]...: send COUNT concurrent POST
+// requests to each path, and print for each path the outcomes and the reasons of
+// those other than whole.
 func cmdFlood(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 4, "flood NAME KEY COUNT PATH...")
+	requireArgs(ts, args, 4, "flood NAME KEY COUNT PATH...")
 	flood(ts, args, func() {})
 }
 
-// flood calls answered after each answer.
-func flood(ts *testscript.TestScript, args []string, answered func()) {
+// flood runs the command and calls onAnswer after each response or failed request.
+func flood(ts *testscript.TestScript, args []string, onAnswer func()) {
 	f := fleetOf(ts)
 	base := "http://" + f.address(f.hosts[args[0]].number, callersPort).String()
-	ctx, cancel := context.WithTimeout(context.Background(), eventTime)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
-	var all sync.WaitGroup
-	counts := map[string]*flooded{}
+	var senders sync.WaitGroup
+	counts := map[string]*answerCounts{}
 	var paths []string
 	for i := 2; i+1 < len(args); i += 2 {
 		count, err := strconv.Atoi(args[i])
 		ts.Check(err)
-		c := &flooded{outcomes: map[string]int{}, reasons: map[string]int{}}
+		c := &answerCounts{outcomes: map[string]int{}, reasons: map[string]int{}}
 		counts[args[i+1]] = c
 		paths = append(paths, args[i+1])
 		for range count {
-			all.Go(func() {
+			senders.Go(func() {
 				c.post(ctx, base+args[i+1], args[1])
-				answered()
+				onAnswer()
 			})
 		}
 	}
-	all.Wait()
+	senders.Wait()
 	for _, path := range paths {
 		c := counts[path]
 		fmt.Fprintf(ts.Stdout(), "%s whole=%d notRun=%d outcomeUnknown=%d backless=%d\n", path,
-			c.outcomes[call.Whole.String()], c.outcomes[call.NotRun.String()], c.outcomes[call.Unknown.String()], c.backless)
+			c.outcomes[call.Whole.String()], c.outcomes[call.NotRun.String()], c.outcomes[call.Unknown.String()], c.withoutRetryAfter)
 		for _, reason := range slices.Sorted(maps.Keys(c.reasons)) {
 			fmt.Fprintf(ts.Stdout(), "%s reason=%s count=%d\n", path, reason, c.reasons[reason])
 		}
 	}
 }
 
-func (c *flooded) post(ctx context.Context, url, key string) {
-	outcome, back, reason := call.Unknown.String(), "", ""
+func (counts *answerCounts) post(ctx context.Context, url, key string) {
+	outcome, retryAfter, reason := call.Unknown.String(), "", ""
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader([]byte("flood")))
 	if err == nil {
 		req.Header.Set("Authorization", "Bearer "+key)
-		req.Header.Set(upstream.HeaderTimeout, strconv.FormatInt(eventTime.Milliseconds(), 10))
+		req.Header.Set(upstream.HeaderTimeout, strconv.FormatInt(eventTimeout.Milliseconds(), 10))
 		if res, err := http.DefaultClient.Do(req); err == nil {
 			raw, _ := io.ReadAll(res.Body)
 			_ = res.Body.Close()
 			reason = reasonIn(raw)
-			outcome, back = res.Header.Get(upstream.HeaderOutcome), res.Header.Get("Retry-After")
+			outcome, retryAfter = res.Header.Get(upstream.HeaderOutcome), res.Header.Get("Retry-After")
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.outcomes[outcome]++
+	counts.mu.Lock()
+	defer counts.mu.Unlock()
+	counts.outcomes[outcome]++
 	if outcome != call.Whole.String() {
-		c.reasons[reason]++
+		counts.reasons[reason]++
 	}
-	if outcome == call.NotRun.String() && back == "" {
-		c.backless++
+	if outcome == call.NotRun.String() && retryAfter == "" {
+		counts.withoutRetryAfter++
 	}
 }
 
--- a/internal/proof/scenario/heads_test.go
+++ b/internal/proof/scenario/heads_test.go
@@ -12,38 +12,38 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// heads are connections whose requests' heads never end.
-type heads struct {
-	done sync.WaitGroup
-	// open counts the connections that the daemon let live to the end.
+// endlessHeads are connections that send request heads without end.
+type endlessHeads struct {
+	senders sync.WaitGroup
+	// open counts the connections that the daemon hadn't closed after eventTimeout.
 	open atomic.Int64
 }
 
 const (
-	trickleEvery = 100 * time.Millisecond
-	floodLine    = 1 << 10
+	trickleInterval = 100 * time.Millisecond
+	floodLineBytes  = 1 << 10
 )
 
-// cmdHeads is heads NAME trickle|flood COUNT: open so many connections in the background and send heads
-// without end, a byte now and then or as fast as possible, until the daemon closes them.
+// cmdHeads is heads NAME trickle|flood COUNT: open COUNT connections in the background and send endless heads, a byte
+// every trickleInterval or as fast as possible, until the daemon closes them.
 func cmdHeads(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "heads NAME trickle|flood COUNT")
+	requireArgs(ts, args, 3, "heads NAME trickle|flood COUNT")
 	f := fleetOf(ts)
 	address := f.address(f.hosts[args[0]].number, callersPort).String()
 	count, err := strconv.Atoi(args[2])
 	ts.Check(err)
-	text, gap := "x", trickleEvery
+	text, interval := "x", trickleInterval
 	if args[1] == "flood" {
-		text, gap = "X-Flood: "+strings.Repeat("x", floodLine)+"\r\n", 0
+		text, interval = "X-Flood: "+strings.Repeat("x", floodLineBytes)+"\r\n", 0
 	}
-	h := &heads{}
+	h := &endlessHeads{}
 	f.heads = h
 	for range count {
-		h.done.Go(func() { h.send(address, text, gap, time.Now().Add(eventTime)) })
+		h.senders.Go(func() { h.send(address, text, interval, time.Now().Add(eventTimeout)) })
 	}
 }
 
-func (h *heads) send(address, text string, gap time.Duration, end time.Time) {
+func (h *endlessHeads) send(address, text string, interval time.Duration, end time.Time) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return
@@ -52,7 +52,7 @@
 	_ = conn.SetWriteDeadline(end)
 	_, err = conn.Write([]byte("POST /lookup/vehicles HTTP/1.1\r\n"))
 	for err == nil && time.Now().Before(end) {
-		time.Sleep(gap)
+		time.Sleep(interval)
 		_, err = conn.Write([]byte(text))
 	}
 	if !time.Now().Before(end) {
@@ -62,6 +62,6 @@
 
 func cmdHeadsEnd(ts *testscript.TestScript, _ bool, _ []string) {
 	h := fleetOf(ts).heads
-	h.done.Wait()
+	h.senders.Wait()
 	fmt.Fprintf(ts.Stdout(), "open=%d\n", h.open.Load())
 }
--- a/internal/proof/scenario/mayhem_test.go
+++ b/internal/proof/scenario/mayhem_test.go
@@ -14,126 +14,128 @@
 )
 
 const (
-	// probe is a host that is never restarted, so that its memory tells.
-	probe = "lookup-1"
-	// mostFaults are on at the same time, each of another kind.
-	mostFaults = 3
+	// measuredHost is never restarted, so that growth of its memory shows a leak.
+	measuredHost = "lookup-1"
+	// maxFaults is the maximum number of faults at the same time, each of another kind.
+	maxFaults = 3
 )
 
-// fault is something that goes wrong for a while; faults on one target come one after another.
+// fault is a temporary fault with the commands that begin and end it; a target has one fault at a time.
 type fault struct {
 	kind   string
 	target string
 	begin  []string
 	end    []string
-	until  time.Duration
+	endsAt time.Duration
 }
 
-// step begins or ends a fault so long after the step before it.
+// step begins or ends a fault.
 type step struct {
+	// after is the time since the previous step.
 	after   time.Duration
 	kind    string
 	command []string
-	// on is how many faults are on after it.
-	on int
+	// active is the number of active faults after the step.
+	active int
 }
 
-// mayhem draws faults that overlap. The order of the steps follows from the seed alone.
-type mayhem struct {
-	rand  *rand.Rand
-	now   time.Duration
-	last  time.Duration
-	on    []fault
-	steps []step
+// faultScheduler chooses overlapping faults at random. The seed alone determines the steps.
+type faultScheduler struct {
+	rand   *rand.Rand
+	now    time.Duration
+	last   time.Duration
+	active []fault
+	steps  []step
 }
 
-// schedule returns the steps for a length of time; all faults have ended after the last one.
+// schedule returns the steps of a test of this length; all faults have ended after the last one.
 func schedule(seed uint64, length time.Duration) []step {
-	m := &mayhem{rand: rand.New(rand.NewPCG(seed, seed))}
-	for m.now < length {
-		m.endUntil(m.now)
-		if len(m.on) == mostFaults {
-			m.now = m.first().until
-			m.endUntil(m.now)
+	s := &faultScheduler{rand: rand.New(rand.NewPCG(seed, seed))}
+	for s.now < length {
+		s.endUntil(s.now)
+		if len(s.active) == maxFaults {
+			s.now = s.nextToEnd().endsAt
+			s.endUntil(s.now)
 		}
-		m.begin(m.draw())
-		m.now += m.while()
+		s.begin(s.draw())
+		s.now += s.randomDuration()
 	}
-	for len(m.on) > 0 {
-		m.endUntil(m.first().until)
+	for len(s.active) > 0 {
+		s.endUntil(s.nextToEnd().endsAt)
 	}
-	return m.steps
+	return s.steps
 }
 
-func (m *mayhem) pick(names ...string) string { return names[m.rand.IntN(len(names))] }
+func (s *faultScheduler) pick(names ...string) string { return names[s.rand.IntN(len(names))] }
 
-func (m *mayhem) while() time.Duration {
-	return time.Duration(200+m.rand.IntN(1500)) * time.Millisecond
+func (s *faultScheduler) randomDuration() time.Duration {
+	return time.Duration(200+s.rand.IntN(1500)) * time.Millisecond
 }
 
-// longShare is the share of faults, one in so many, that last longer than leases, digests and suspicion take.
-const longShare = 4
+// longFaultOneIn makes one in 4 faults last longer than loans of tokens, the exchange of digests and the detection of
+// failed hosts take.
+const longFaultOneIn = 4
 
-func (m *mayhem) length() time.Duration {
-	if m.rand.IntN(longShare) == 0 {
-		return 4 * m.while()
+func (s *faultScheduler) faultDuration() time.Duration {
+	if s.rand.IntN(longFaultOneIn) == 0 {
+		return 4 * s.randomDuration()
 	}
-	return m.while()
+	return s.randomDuration()
 }
 
-func (m *mayhem) first() fault {
-	return slices.MinFunc(m.on, func(a, b fault) int { return int(a.until - b.until) })
+func (s *faultScheduler) nextToEnd() fault {
+	return slices.MinFunc(s.active, func(a, b fault) int { return int(a.endsAt - b.endsAt) })
 }
 
-func (m *mayhem) endUntil(now time.Duration) {
-	for len(m.on) > 0 && m.first().until <= now {
-		f := m.first()
-		m.on = slices.DeleteFunc(m.on, func(o fault) bool { return o.kind == f.kind })
-		m.add(f.until, f.kind, f.end)
+func (s *faultScheduler) endUntil(now time.Duration) {
+	for len(s.active) > 0 && s.nextToEnd().endsAt <= now {
+		f := s.nextToEnd()
+		s.active = slices.DeleteFunc(s.active, func(o fault) bool { return o.kind == f.kind })
+		s.add(f.endsAt, f.kind, f.end)
 	}
 }
 
-func (m *mayhem) begin(f fault) {
-	f.until = m.now + m.length()
-	m.on = append(m.on, f)
-	m.add(m.now, f.kind, f.begin)
+func (s *faultScheduler) begin(f fault) {
+	f.endsAt = s.now + s.faultDuration()
+	s.active = append(s.active, f)
+	s.add(s.now, f.kind, f.begin)
 }
 
-func (m *mayhem) add(at time.Duration, kind string, command []string) {
-	m.steps = append(m.steps, step{after: at - m.last, kind: kind, command: command, on: len(m.on)})
-	m.last = at
+func (s *faultScheduler) add(at time.Duration, kind string, command []string) {
+	s.steps = append(s.steps, step{after: at - s.last, kind: kind, command: command, active: len(s.active)})
+	s.last = at
 }
 
-// draw returns a fault of a kind that is not on, whose target has no other fault.
-func (m *mayhem) draw() fault {
+// draw returns a fault of a kind that is not active, whose target has no other fault.
+func (s *faultScheduler) draw() fault {
 	for {
-		f := m.fault()
-		free := func(o fault) bool { return o.kind == f.kind || o.target == f.target }
-		if !slices.ContainsFunc(m.on, free) {
+		f := s.randomFault()
+		conflicts := func(o fault) bool { return o.kind == f.kind || o.target == f.target }
+		if !slices.ContainsFunc(s.active, conflicts) {
 			return f
 		}
 	}
 }
 
-func (m *mayhem) fault() fault {
-	victim := m.pick("dispatch-1", "dispatch-2", "dispatch-3", "lookup-2")
-	other := m.pick("dispatch-1", "dispatch-2", "dispatch-3", "lookup-1", "lookup-2", "platform")
+func (s *faultScheduler) randomFault() fault {
+	victim := s.pick("dispatch-1", "dispatch-2", "dispatch-3", "lookup-2")
+	other := s.pick("dispatch-1", "dispatch-2", "dispatch-3", "lookup-1", "lookup-2", "platform")
 	if other == victim {
 		other = "platform"
 	}
-	up := victim + ".upstream"
+	upstream := victim + ".upstream"
 	pair := min(victim, other) + " " + max(victim, other)
 	all := []fault{
 		{kind: "crash", target: victim, begin: []string{"crash", victim}, end: []string{"restart", victim}},
 		{kind: "pause", target: victim, begin: []string{"pause", victim}, end: []string{"resume", victim}},
-		{kind: "pauseUpstream", target: up, begin: []string{"pause", up}, end: []string{"resume", up}},
+		{kind: "pauseUpstream", target: upstream, begin: []string{"pause", upstream}, end: []string{"resume", upstream}},
 		{kind: "cut", target: pair, begin: []string{"cut", victim, other}, end: []string{"heal", victim, other}},
 		{kind: "drop", target: pair, begin: []string{"drop", victim, other}, end: []string{"heal", victim, other}},
-		{kind: "mode", target: "platform", begin: []string{"mode", m.pick("down", "stale")}, end: []string{"mode", "up"}},
-		{kind: "hosts", target: "hosts", begin: []string{"hosts", victim + "=" + m.pick("leaving", "gone")}, end: []string{"hosts"}},
+		{kind: "mode", target: "platform", begin: []string{"mode", s.pick("down", "stale")}, end: []string{"mode", "up"}},
+		{kind: "hosts", target: "hosts", begin: []string{"hosts", victim + "=" + s.pick("leaving", "gone")}, end: []string{"hosts"}},
 		{kind: "shutdown", target: victim, begin: []string{"shutdown", victim}, end: []string{"restart", victim}},
 	}
-	return all[m.rand.IntN(len(all))]
+	return all[s.rand.IntN(len(all))]
 }
 
 func cmdMayhem(ts *testscript.TestScript, _ bool, _ []string) {
@@ -141,39 +143,39 @@
 	ts.Check(err)
 	seed, _ := strconv.ParseUint(os.Getenv("SOAK_SEED"), 10, 64)
 	cmds := commands()
-	counts, together := map[string]int{}, [mostFaults + 1]time.Duration{}
-	begun := time.Now()
-	next, on, since := length/10, 0, begun
+	counts, timeByActive := map[string]int{}, [maxFaults + 1]time.Duration{}
+	started := time.Now()
+	nextReport, active, lastChange := length/10, 0, started
 	for _, s := range schedule(seed, length) {
 		time.Sleep(s.after)
-		together[on] += time.Since(since)
-		if s.on > on {
+		timeByActive[active] += time.Since(lastChange)
+		if s.active > active {
 			counts[s.kind]++
 		}
-		on, since = s.on, time.Now()
-		fmt.Fprintf(ts.Stderr(), "%s %v\n", time.Since(begun).Round(time.Millisecond), s.command)
+		active, lastChange = s.active, time.Now()
+		fmt.Fprintf(ts.Stderr(), "%s %v\n", time.Since(started).Round(time.Millisecond), s.command)
 		cmds[s.command[0]](ts, false, s.command[1:])
-		if elapsed := time.Since(begun); elapsed >= next {
+		if elapsed := time.Since(started); elapsed >= nextReport {
 			fmt.Fprintf(os.Stderr, "soak %s: %s resident %d KB, faults %v, time with none to three on %v\n",
-				elapsed.Round(time.Second), probe, resident(ts, probe), counts, together)
-			next += length / 10
+				elapsed.Round(time.Second), measuredHost, residentKB(ts, measuredHost), counts, timeByActive)
+			nextReport += length / 10
 		}
 	}
 	cmds["ready"](ts, false, []string{"dispatch-1", "dispatch-2", "dispatch-3", "lookup-1", "lookup-2"})
 }
 
 func TestSchedule(t *testing.T) {
-	Convey("Up to three faults of different kinds are on together, each ends, and a seed gives the same order again", t, func() {
+	Convey("Up to three faults of different kinds are active together, each ends, and the same seed gives the same steps", t, func() {
 		steps := schedule(7, time.Hour)
-		on, most := 0, 0
+		active, maxActive := 0, 0
 		for _, s := range steps {
 			So(s.after, ShouldBeGreaterThanOrEqualTo, 0)
-			So(s.on-on, ShouldBeIn, -1, 1)
-			on = s.on
-			most = max(most, on)
+			So(s.active-active, ShouldBeIn, -1, 1)
+			active = s.active
+			maxActive = max(maxActive, active)
 		}
-		So(on, ShouldEqual, 0)
-		So(most, ShouldEqual, mostFaults)
+		So(active, ShouldEqual, 0)
+		So(maxActive, ShouldEqual, maxFaults)
 		So(schedule(7, time.Hour), ShouldResemble, steps)
 	})
 }
--- a/internal/proof/scenario/platform_test.go
+++ b/internal/proof/scenario/platform_test.go
@@ -4,7 +4,8 @@
 	"github.com/pkg/errors"
 )
 
-// standinPlatform is the platform or a replica of it, which daemons reach through a relay at the next number.
+// standinPlatform is the stand-in platform or a replica of it. Daemons connect to it through a relay whose address has
+// the next number.
 type standinPlatform struct {
 	name    string
 	number  byte
@@ -13,11 +14,12 @@
 
 const (
 	platformName = "platform"
-	// mostPlatforms is as many as have numbers, each with its relay, up to 255.
-	mostPlatforms = 2
+	// maxPlatforms is limited by the last address byte, at most 255: each platform and its relay take one number each from
+	// platformHost on.
+	maxPlatforms = 2
 )
 
-func (f *fleet) platformOf(name string) *standinPlatform {
+func (f *fleet) platformByName(name string) *standinPlatform {
 	for _, p := range f.platforms {
 		if p.name == name {
 			return p
@@ -27,8 +29,8 @@
 }
 
 func (f *fleet) startPlatform(name string) error {
-	if len(f.platforms) == mostPlatforms || f.platformOf(name) != nil {
-		return errors.Errorf("scenario: no second %q, and no more than %d platforms", name, mostPlatforms)
+	if len(f.platforms) == maxPlatforms || f.platformByName(name) != nil {
+		return errors.Errorf("scenario: can't start platform %q: it exists already, or there are %d platforms, the maximum", name, maxPlatforms)
 	}
 	p := &standinPlatform{name: name, number: byte(platformHost + 2*len(f.platforms))}
 	f.platforms = append(f.platforms, p)
@@ -39,11 +41,11 @@
 }
 
 func (f *fleet) runPlatform(p *standinPlatform) error {
-	at := f.address(p.number, platformPort).String()
-	started, err := f.start(p.name+".log", "standin", "platform", "-listen", at)
+	address := f.address(p.number, platformPort).String()
+	started, err := f.start(p.name+".log", "standin", "platform", "-listen", address)
 	if err != nil {
 		return err
 	}
 	p.process = started
-	return f.await("http://" + at + "/v1/reads")
+	return f.awaitOK("http://" + address + "/v1/reads")
 }
--- a/internal/proof/scenario/program_test.go
+++ b/internal/proof/scenario/program_test.go
@@ -16,15 +16,15 @@
 )
 
 func cmdProgram(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "program CODE NAME ARGUMENT...")
+	requireArgs(ts, args, 2, "program CODE NAME ARGUMENT...")
 	want, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	f := fleetOf(ts)
-	var given []string
+	var expanded []string
 	for _, arg := range args[2:] {
-		given = append(given, f.expand(ts, arg))
+		expanded = append(expanded, f.expand(ts, arg))
 	}
-	err = ts.Exec(filepath.Join(f.bin, args[1]), given...)
+	err = ts.Exec(filepath.Join(f.bin, args[1]), expanded...)
 	got := 0
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// expand replaces a name by the address or the log that it stands for.
+// expand replaces @platform by the platform's address, @HOST by the host's operators' address and %HOST by its log file.
 func (f *fleet) expand(ts *testscript.TestScript, arg string) string {
 	if arg == "@platform" {
 		return f.address(platformHost, platformPort).String()
@@ -57,17 +57,17 @@
 }
 
 func cmdBig(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "big FILE")
+	requireArgs(ts, args, 1, "big FILE")
 	ts.Check(os.WriteFile(ts.MkAbs(args[0]), bytes.Repeat([]byte(" "), 2<<20), 0o644))
 }
 
 func cmdDirect(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "direct NAME METHOD PATH [body=B]")
+	requireArgs(ts, args, 3, "direct NAME METHOD PATH [body=B]")
 	f := fleetOf(ts)
 	url := "http://" + f.address(f.hosts[args[0]].number, upstreamPort).String() + args[2]
-	req, err := http.NewRequest(args[1], url, strings.NewReader(pairs(ts, args[3:])["body"]))
+	req, err := http.NewRequest(args[1], url, strings.NewReader(parseOptions(ts, args[3:])["body"]))
 	ts.Check(err)
-	out, err := exchange(req)
+	out, err := sendRequest(req)
 	ts.Check(err)
 	_, _ = io.WriteString(ts.Stdout(), out)
 }
--- a/internal/proof/scenario/regions_test.go
+++ b/internal/proof/scenario/regions_test.go
@@ -18,22 +18,22 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// regionCommands are for scripts about regions.
+// regionCommands are the commands of scripts about regions.
 func regionCommands() map[string]command {
 	return map[string]command{
-		"paced":      cmdPaced,      // paced RATE METHOD PATH key=K: as load, for an organisation whose rate binds
-		"pacedend":   cmdPacedEnd,   // pacedend ORGANISATION RATE BURST: stop, and print by how much the runs are over the rate
+		"paced":      cmdPaced,      // paced RATE METHOD PATH key=K: as load, for an organisation that sends above its rate
+		"pacedend":   cmdPacedEnd,   // pacedend ORGANISATION RATE BURST: stop, and print by how many requests the runs exceed rate and burst
 		"regions":    cmdRegions,    // regions: print the number of runs in each region
-		"awaitrow":   cmdAwaitRow,   // awaitrow COUNT PATTERN send...: repeat a send until so many answers in a row match PATTERN
-		"rising":     cmdRising,     // rising LIST NAME...: by the logs, no daemon put an older version of the list in force after a newer one
-		"withinPart": cmdWithinPart, // withinPart RATE BURST REGION: the streams got what the region's shards allow, and half of it at least
+		"awaitrow":   cmdAwaitRow,   // awaitrow COUNT PATTERN send...: repeat a send until COUNT consecutive outputs match PATTERN
+		"rising":     cmdRising,     // rising LIST NAME...: check in the logs that no daemon put an older version of the list in force after a newer one
+		"withinPart": cmdWithinPart, // withinPart RATE BURST REGION: check that the streams got at most what the region's rate shards allow, and at least half of it
 	}
 }
 
-// named returns the hosts of a region, or the one thing of that name.
-func (f *fleet) named(name string) []string {
+// resolveNames returns the hosts of the region with that name, or the name itself.
+func (f *fleet) resolveNames(name string) []string {
 	var hosts []string
-	for _, host := range f.order {
+	for _, host := range f.hostNames {
 		if f.hosts[host].region == name {
 			hosts = append(hosts, host)
 		}
@@ -47,10 +47,10 @@
 func cmdRegions(ts *testscript.TestScript, _ bool, _ []string) {
 	f := fleetOf(ts)
 	runs := map[string]int{}
-	for _, name := range f.order {
+	for _, name := range f.hostNames {
 		region := f.hosts[name].region
 		runs[region] += 0
-		for _, n := range runsOf(ts, name) {
+		for _, n := range upstreamRuns(ts, name) {
 			runs[region] += n
 		}
 	}
@@ -62,54 +62,54 @@
 }
 
 func cmdAwaitRow(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 6, "awaitrow COUNT PATTERN send NAME METHOD PATH ...")
+	requireArgs(ts, args, 6, "awaitrow COUNT PATTERN send NAME METHOD PATH ...")
 	count, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	pattern, err := regexp.Compile(args[1])
 	ts.Check(err)
-	row := 0
-	wait(ts, args[1], func() (string, bool) {
+	matches := 0
+	waitFor(ts, args[1], func() (string, bool) {
 		out, err := send(ts, args[3:])
 		if err != nil {
 			out = err.Error()
 		}
-		row++
+		matches++
 		if !pattern.MatchString(out) {
-			row = 0
+			matches = 0
 		}
-		return out, row == count
+		return out, matches == count
 	})
 }
 
-// cmdRising looks at the logs, since an older version may be in force for less than a millisecond before a peer tells the
-// newer one again; no request may happen to fall into it. None of the daemons may have been restarted.
+// cmdRising checks the logs, since an older version may be in force for less than a millisecond before a peer sends the
+// newer one again, too short for requests to detect it. None of the daemons may have been restarted.
 func cmdRising(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "rising LIST NAME...")
+	requireArgs(ts, args, 2, "rising LIST NAME...")
 	for _, name := range args[1:] {
 		raw, err := os.ReadFile(filepath.Join(fleetOf(ts).dir, name+".log"))
 		ts.Check(err)
 		last := 0
 		for line := range strings.Lines(string(raw)) {
-			var taken struct {
+			var entry struct {
 				List, Verdict string
 				Version       int
 			}
-			if json.Unmarshal([]byte(line), &taken) != nil || taken.List != args[0] || taken.Verdict != lists.Accepted.String() {
+			if json.Unmarshal([]byte(line), &entry) != nil || entry.List != args[0] || entry.Verdict != lists.Accepted.String() {
 				continue
 			}
-			if taken.Version <= last {
-				ts.Fatalf("%s took version %d of %s after %d", name, taken.Version, args[0], last)
+			if entry.Version <= last {
+				ts.Fatalf("%s put version %d of %s in force after %d", name, entry.Version, args[0], last)
 			}
-			last = taken.Version
+			last = entry.Version
 		}
 		if last == 0 {
-			ts.Fatalf("the log of %s tells of no version of %s", name, args[0])
+			ts.Fatalf("the log of %s has no accepted version of %s", name, args[0])
 		}
 	}
 }
 
-// shards returns the rate shards that lie at the hosts, of the organisations with traffic there.
-func shards(ts *testscript.TestScript, names []string) int {
+// shardsOf returns the number of rate shards that the hosts own, of the organisations with traffic.
+func shardsOf(ts *testscript.TestScript, names []string) int {
 	total := 0
 	for _, name := range names {
 		var status struct{ Rates struct{ Shards int } }
@@ -119,39 +119,39 @@
 	return total
 }
 
-// cmdWithinPart holds what the streams got against the part of one organisation's
-// rate that lies in a region. Shards are of whole tokens, so they are alike only
-// where the burst is a multiple of their number.
+// cmdWithinPart compares what the streams got with the part of one organisation's
+// rate whose shards a region owns. The burst must be a multiple of the number of
+// shards: they have whole tokens, and only then are they equal.
 func cmdWithinPart(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "withinPart RATE BURST REGION")
+	requireArgs(ts, args, 3, "withinPart RATE BURST REGION")
 	perSecond, err := strconv.ParseFloat(args[0], 64)
 	ts.Check(err)
 	burst, err := strconv.ParseFloat(args[1], 64)
 	ts.Check(err)
 	f := fleetOf(ts)
-	for _, name := range f.named(args[2]) {
+	for _, name := range f.resolveNames(args[2]) {
 		if !strings.Contains(statusOf(ts, name), `"mayLend": true`) {
-			ts.Fatalf("%s lends nothing, so that its shards tell nothing of the part", name)
+			ts.Fatalf("%s lends no tokens, so the region's part can't be computed from its shards", name)
 		}
 	}
-	own := shards(ts, f.named(args[2]))
-	part := float64(own) / rate.DefaultShards
+	regionShards := shardsOf(ts, f.resolveNames(args[2]))
+	share := float64(regionShards) / rate.DefaultShards
 	var spans []span
-	for _, a := range streamsIn(ts).admitted {
-		spans = append(spans, span{from: a.sent.UnixNano(), to: a.heard.UnixNano()})
+	for _, a := range streamsOfFleet(ts).admitted {
+		spans = append(spans, span{from: a.sent.UnixNano(), to: a.answered.UnixNano()})
 	}
-	if len(spans) == 0 && own == 0 {
+	if len(spans) == 0 && regionShards == 0 {
 		return
 	}
 	if len(spans) == 0 {
-		ts.Fatalf("nothing admitted, with %d shards", own)
+		ts.Fatalf("no request was admitted, although the region owns %d shards", regionShards)
 	}
-	over := mostOver(spans, perSecond*part, burst*part)
+	excess := maxExcess(spans, perSecond*share, burst*share)
 	first := slices.MinFunc(spans, func(a, b span) int { return int(a.from - b.from) })
 	last := slices.MaxFunc(spans, func(a, b span) int { return int(a.to - b.to) })
-	least := perSecond * part * time.Duration(last.to-first.from).Seconds() / 2
-	ts.Logf("%d of %d shards, %d admitted, at least %.0f wanted, most over the part: %.1f", own, rate.DefaultShards, len(spans), least, over)
-	if over > 0 || float64(len(spans)) < least {
-		ts.Fatalf("%d admitted with %d of %d shards: %.1f over, at least %.0f wanted", len(spans), own, rate.DefaultShards, over, least)
+	minAdmitted := perSecond * share * time.Duration(last.to-first.from).Seconds() / 2
+	ts.Logf("%d of %d shards, %d admitted, want at least %.0f, worst interval exceeds the part by %.1f", regionShards, rate.DefaultShards, len(spans), minAdmitted, excess)
+	if excess > 0 || float64(len(spans)) < minAdmitted {
+		ts.Fatalf("%d admitted with %d of %d shards: worst interval exceeds the part by %.1f, want at least %.0f admitted", len(spans), regionShards, rate.DefaultShards, excess, minAdmitted)
 	}
 }
--- a/internal/proof/scenario/relay_test.go
+++ b/internal/proof/scenario/relay_test.go
@@ -15,17 +15,17 @@
 type delivery uint8
 
 const (
-	// passes delivers them.
-	passes delivery = iota
-	// holds delivers them later, as after a partition over which TCP sends them again.
-	holds
-	// drops never delivers them, nor anything more on their connection: a switch
-	// that dies, or a firewall that has lost its state.
-	drops
+	// deliverBytes delivers them at once.
+	deliverBytes delivery = iota
+	// holdBytes delivers them later, as TCP does by retransmission after a partition.
+	holdBytes
+	// dropBytes never delivers them, nor anything more on their connection, as when a
+	// switch fails or a firewall loses its state.
+	dropBytes
 )
 
-// relays forward connections between hosts and can cut any pair of them. A
-// daemon's connections come from its own address, which tells who is calling.
+// relays forward connections between hosts and can partition any pair of them. A
+// daemon connects from its own address, by which the relay identifies it.
 type relays struct {
 	fleet *fleet
 
@@ -36,10 +36,10 @@
 	listeners  []net.Listener
 }
 
-// joint is two connections that are joined.
-type joint struct {
-	pair [2]string
-	lost atomic.Bool
+// connection is a forwarded connection from one host to another.
+type connection struct {
+	hosts [2]string
+	lost  atomic.Bool
 }
 
 func newRelays(f *fleet) *relays {
@@ -65,19 +65,19 @@
 		if err != nil {
 			return
 		}
-		pair := [2]string{r.caller(in), name}
+		pair := [2]string{r.callerName(in), name}
 		go r.forward(in, to, pair)
 	}
 }
 
-// know notes the host that speaks from the address.
-func (r *relays) know(address netip.Addr, name string) {
+// register records the name of the host that connects from the address.
+func (r *relays) register(address netip.Addr, name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.names[address] = name
 }
 
-func (r *relays) caller(in net.Conn) string {
+func (r *relays) callerName(in net.Conn) string {
 	remote, _ := netip.ParseAddrPort(in.RemoteAddr().String())
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,13 +87,14 @@
 	return "outside"
 }
 
-// forward joins two connections. On a pair that doesn't pass, the new connection
-// hangs unanswered, as it does behind a switch that drops packets.
+// forward forwards an accepted connection to its destination. While bytes between
+// the two hosts are held or dropped, it gets no response, as behind a switch that
+// drops packets.
 func (r *relays) forward(in net.Conn, to netip.AddrPort, pair [2]string) {
-	defer r.keep(in)()
-	j := &joint{pair: pair}
-	r.hold(pair)
-	if r.loses(j) {
+	defer r.track(in)()
+	c := &connection{hosts: pair}
+	r.waitWhileHeld(pair)
+	if r.drops(c) {
 		_, _ = io.Copy(io.Discard, in)
 		return
 	}
@@ -101,15 +102,15 @@
 	if err != nil {
 		return
 	}
-	defer r.keep(out)()
+	defer r.track(out)()
 	var both sync.WaitGroup
-	both.Go(func() { r.pump(in, out, j) })
-	both.Go(func() { r.pump(out, in, j) })
+	both.Go(func() { r.copyBytes(in, out, c) })
+	both.Go(func() { r.copyBytes(out, in, c) })
 	both.Wait()
 }
 
-// keep notes an open connection and returns what closes it.
-func (r *relays) keep(c net.Conn) func() {
+// track records an open connection and returns a function that closes it.
+func (r *relays) track(c net.Conn) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open[c] = true
@@ -121,21 +122,21 @@
 	}
 }
 
-const holdLook = 10 * time.Millisecond
+const holdPollInterval = 10 * time.Millisecond
 
-// hold waits while the pair's bytes are held.
-func (r *relays) hold(pair [2]string) {
-	for r.delivery(pair) == holds {
-		time.Sleep(holdLook)
+// waitWhileHeld waits while bytes between the pair are held.
+func (r *relays) waitWhileHeld(pair [2]string) {
+	for r.delivery(pair) == holdBytes {
+		time.Sleep(holdPollInterval)
 	}
 }
 
-// loses reports whether what came on the connection is lost; then all that follows is lost as well.
-func (r *relays) loses(j *joint) bool {
-	if r.delivery(j.pair) == drops {
-		j.lost.Store(true)
+// drops reports whether bytes of the connection are dropped; once they are, all that follow are dropped as well.
+func (r *relays) drops(c *connection) bool {
+	if r.delivery(c.hosts) == dropBytes {
+		c.lost.Store(true)
 	}
-	return j.lost.Load()
+	return c.lost.Load()
 }
 
 func (r *relays) delivery(pair [2]string) delivery {
@@ -144,13 +145,13 @@
 	return r.deliveries[pair]
 }
 
-// pump copies one direction. The other end doesn't hear of the end of a connection that has lost bytes.
-func (r *relays) pump(to, from net.Conn, j *joint) {
+// copyBytes copies one direction. If bytes were dropped, the end of one side is not passed on to the other.
+func (r *relays) copyBytes(to, from net.Conn, c *connection) {
 	buffer := make([]byte, 64<<10)
 	for {
 		n, err := from.Read(buffer)
-		r.hold(j.pair)
-		lost := r.loses(j)
+		r.waitWhileHeld(c.hosts)
+		lost := r.drops(c)
 		if n > 0 && !lost {
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				err = werr
@@ -167,7 +168,7 @@
 	}
 }
 
-// set says what becomes of the bytes between two names, in both directions.
+// set sets the delivery of bytes between two names, in both directions.
 func (r *relays) set(a, b string, d delivery) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,7 +176,7 @@
 	r.deliveries[[2]string{b, a}] = d
 }
 
-func (r *relays) end() {
+func (r *relays) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.listeners {
--- a/internal/proof/scenario/scenario_test.go
+++ b/internal/proof/scenario/scenario_test.go
@@ -52,8 +52,8 @@
 	f := newFleet(binaries, env.WorkDir)
 	env.Values[fleetKey{}] = f
 	env.Defer(func() {
-		f.end()
-		if crash := f.crash(); crash != "" {
+		f.stop()
+		if crash := f.crashOutput(); crash != "" {
 			env.T().Fatal(crash)
 		}
 	})
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// shared are lists that most scenarios publish.
+// shared has the lists that most scenarios publish, by file name.
 var shared = map[string]string{
 	"plans.json": `{"organisations":[
   {"organisation":"dealer","plan":"full","rate":1000,"burst":1000},
--- a/internal/proof/scenario/stranger_test.go
+++ b/internal/proof/scenario/stranger_test.go
@@ -15,17 +15,17 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/peer"
 )
 
-// Sizes of the handshake between daemons, and the form of a frame that asks for something.
+// Constants of the protocol between daemons: the handshake, and the header of a request frame.
 const (
-	peerPreamble = "fxh2"
-	peerNonce    = 16
-	peerProof    = 32
-	peerRequest  = 1
-	peerHeader   = 10
+	preamble         = "fxh2"
+	nonceBytes       = 16
+	proofBytes       = 32
+	requestFrame     = 1
+	frameHeaderBytes = 10
 )
 
-// forgedHandoff is what a stranger would hand on if he were taken for a daemon.
-type forgedHandoff struct {
+// forgedRequest is a request as daemons send it to each other.
+type forgedRequest struct {
 	ID           string        `msgpack:"id"`
 	Organisation string        `msgpack:"organisation"`
 	Operation    string        `msgpack:"operation"`
@@ -36,22 +36,22 @@
 	Budget       int           `msgpack:"budget"`
 }
 
-// cmdForge is forge NAME bare|guess ORGANISATION: hand a request on at the
-// peers' port without a handshake, or with a guessed proof.
+// cmdForge is forge NAME bare|guess ORGANISATION: send a request to the peers'
+// port without a handshake, or with a guessed proof.
 func cmdForge(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 3, "forge NAME bare|guess ORGANISATION")
+	requireArgs(ts, args, 3, "forge NAME bare|guess ORGANISATION")
 	f := fleetOf(ts)
 	h := f.hosts[args[0]]
 	conn, err := net.Dial("tcp", f.address(h.number, peersPort).String())
 	ts.Check(err)
 	defer func() { _ = conn.Close() }()
-	ts.Check(conn.SetDeadline(time.Now().Add(eventTime)))
+	ts.Check(conn.SetDeadline(time.Now().Add(eventTimeout)))
 	if args[1] == "guess" {
-		_, err = conn.Write(append([]byte(peerPreamble), make([]byte, peerNonce)...))
+		_, err = conn.Write(append([]byte(preamble), make([]byte, nonceBytes)...))
 		ts.Check(err)
-		_, err = io.ReadFull(conn, make([]byte, peerNonce))
+		_, err = io.ReadFull(conn, make([]byte, nonceBytes))
 		ts.Check(err)
-		_, err = conn.Write(make([]byte, peerProof))
+		_, err = conn.Write(make([]byte, proofBytes))
 		ts.Check(err)
 	}
 	// The daemon may have closed the connection by now.
@@ -61,13 +61,13 @@
 }
 
 func forgedFrame(ts *testscript.TestScript, service, organisation string) []byte {
-	payload, err := msgpack.Marshal(forgedHandoff{
+	payload, err := msgpack.Marshal(forgedRequest{
 		ID: "forged", Organisation: organisation, Operation: "lookup.find", Service: service,
 		Method: "POST", Path: "/vehicles", Remaining: sendSlack, Budget: 1000,
 	})
 	ts.Check(err)
-	out := binary.BigEndian.AppendUint32(nil, uint32(peerHeader+len(payload)))
-	out = append(out, peerRequest, byte(peer.KindCall))
+	out := binary.BigEndian.AppendUint32(nil, uint32(frameHeaderBytes+len(payload)))
+	out = append(out, requestFrame, byte(peer.KindCall))
 	out = binary.BigEndian.AppendUint64(out, 1)
 	return append(out, payload...)
 }
--- a/internal/proof/scenario/stream_test.go
+++ b/internal/proof/scenario/stream_test.go
@@ -16,80 +16,81 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// streamCommands send for a while at several hosts and check what was admitted over all of them.
+// streamCommands send to several hosts for some time and check what all of them together admitted.
 func streamCommands() map[string]command {
 	return map[string]command{
-		"stream":    cmdStream,    // stream NAME,NAME KEY DURATION CALLS/S [LEAST]: send at each of the hosts in the background, for that time and until so many were admitted
-		"streamEnd": cmdStreamEnd, // streamEnd: wait for the streams and print what was admitted at each host
-		"within":    cmdWithin,    // within RATE BURST: every interval of the streams has at most burst + rate × length
-		"atLeast":   cmdAtLeast,   // atLeast COUNT: so many were admitted over all hosts
-		"share":     cmdShare,     // share PERCENT: of those that were sent, so many were admitted
-		"rates":     cmdRates,     // rates NAME TEXT: wait until /statusz of the host has the text
+		"stream":    cmdStream,    // stream NAME,NAME KEY DURATION CALLS/S [LEAST]: send to each of the hosts in the background, for that time and until LEAST requests were admitted
+		"streamEnd": cmdStreamEnd, // streamEnd: wait for the streams and print the number of admitted requests by host
+		"within":    cmdWithin,    // within RATE BURST: check that every interval admitted at most burst + rate × length
+		"atLeast":   cmdAtLeast,   // atLeast COUNT: check that all hosts together admitted at least COUNT requests
+		"share":     cmdShare,     // share PERCENT: check that at least PERCENT of the sent requests were admitted
+		"rates":     cmdRates,     // rates NAME TEXT: wait until /statusz of the host has TEXT
 	}
 }
 
-// streams are the senders of one scenario and what they saw.
+// streams are the senders of one scenario and their results.
 type streams struct {
-	going sync.WaitGroup
+	senders sync.WaitGroup
 
 	mu       sync.Mutex
-	admitted []admission
+	admitted []admittedRequest
 	refused  map[string]int
 }
 
-// admission is a whole answer. The door let the request in between the two times.
-type admission struct {
-	host  string
-	sent  time.Time
-	heard time.Time
+// admittedRequest is a request with the outcome whole; it was admitted between the two times.
+type admittedRequest struct {
+	host     string
+	sent     time.Time
+	answered time.Time
 }
 
-var streamsOf sync.Map
+var streamsByFleet sync.Map
 
-func streamsIn(ts *testscript.TestScript) *streams {
-	f, _ := streamsOf.LoadOrStore(fleetOf(ts), &streams{refused: map[string]int{}})
+func streamsOfFleet(ts *testscript.TestScript) *streams {
+	f, _ := streamsByFleet.LoadOrStore(fleetOf(ts), &streams{refused: map[string]int{}})
 	return f.(*streams)
 }
 
-// streamTimeout is longer than any pause in a scenario: an answer of a host that slept must be seen.
+// streamTimeout is longer than any pause in a scenario, so that responses of paused hosts are received.
 const streamTimeout = 20 * time.Second
 
 func cmdStream(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 4, "stream NAME,NAME KEY DURATION CALLS/S [LEAST]")
-	length, err := time.ParseDuration(args[2])
+	requireArgs(ts, args, 4, "stream NAME,NAME KEY DURATION CALLS/S [LEAST]")
+	duration, err := time.ParseDuration(args[2])
 	ts.Check(err)
 	perSecond, err := strconv.ParseFloat(args[3], 64)
 	ts.Check(err)
-	least := 0
+	minAdmitted := 0
 	if len(args) > 4 {
-		least, err = strconv.Atoi(args[4])
+		minAdmitted, err = strconv.Atoi(args[4])
 		ts.Check(err)
 	}
-	f, fl := fleetOf(ts), streamsIn(ts)
-	gap := time.Duration(float64(time.Second) / perSecond)
+	f, s := fleetOf(ts), streamsOfFleet(ts)
+	interval := time.Duration(float64(time.Second) / perSecond)
 	for _, name := range strings.Split(args[0], ",") {
 		url := "http://" + f.address(f.hosts[name].number, callersPort).String() + "/lookup/vehicles"
-		fl.going.Go(func() { fl.pour(name, url, args[1], length, gap, least) })
+		s.senders.Go(func() { s.sendSteadily(name, url, args[1], duration, interval, minAdmitted) })
 	}
 }
 
-// pour sends at a fixed pace, whether or not answers come. A busy machine admits the least later.
-func (f *streams) pour(name, url, key string, length, gap time.Duration, least int) {
-	ticker := time.NewTicker(gap)
+// sendSteadily sends at a fixed rate, regardless of responses, for the duration. If fewer than minAdmitted requests were
+// admitted by then, as on a busy machine, it goes on until they are, for at most eventTimeout.
+func (s *streams) sendSteadily(name, url, key string, duration, interval time.Duration, minAdmitted int) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	end := time.Now().Add(length)
-	for last := end.Add(eventTime); time.Now().Before(end) || f.count() < least && time.Now().Before(last); <-ticker.C {
-		f.going.Go(func() { f.one(name, url, key) })
+	end := time.Now().Add(duration)
+	for last := end.Add(eventTimeout); time.Now().Before(end) || s.count() < minAdmitted && time.Now().Before(last); <-ticker.C {
+		s.senders.Go(func() { s.sendOne(name, url, key) })
 	}
 }
 
-func (f *streams) count() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.admitted)
+func (s *streams) count() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.admitted)
 }
 
-func (f *streams) one(name, url, key string) {
+func (s *streams) sendOne(name, url, key string) {
 	ctx, cancel := context.WithTimeout(context.Background(), streamTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader([]byte("x")))
@@ -101,83 +102,83 @@
 	sent := time.Now()
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		f.refuse("no answer")
+		s.recordRefusal("no answer")
 		return
 	}
 	_, _ = io.Copy(io.Discard, res.Body)
 	_ = res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		f.refuse(strconv.Itoa(res.StatusCode))
+		s.recordRefusal(strconv.Itoa(res.StatusCode))
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.admitted = append(f.admitted, admission{host: name, sent: sent, heard: time.Now()})
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.admitted = append(s.admitted, admittedRequest{host: name, sent: sent, answered: time.Now()})
 }
 
-func (f *streams) refuse(why string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.refused[why]++
+func (s *streams) recordRefusal(cause string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.refused[cause]++
 }
 
 func cmdStreamEnd(ts *testscript.TestScript, _ bool, _ []string) {
-	f := streamsIn(ts)
-	f.going.Wait()
+	s := streamsOfFleet(ts)
+	s.senders.Wait()
 	perHost := map[string]int{}
-	for _, a := range f.admitted {
+	for _, a := range s.admitted {
 		perHost[a.host]++
 	}
-	text := fmt.Sprintf("admitted=%d %v refused=%v\n", len(f.admitted), perHost, f.refused)
+	text := fmt.Sprintf("admitted=%d %v refused=%v\n", len(s.admitted), perHost, s.refused)
 	_, _ = io.WriteString(ts.Stdout(), text)
 	ts.Logf("%s", text)
 }
 
-// cmdWithin looks at the requests that were answered whole: of those it is
-// certain that they were let in between sending and answer.
+// cmdWithin checks the requests with the outcome whole: they were certainly
+// admitted between the sending and the response.
 func cmdWithin(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "within RATE BURST")
+	requireArgs(ts, args, 2, "within RATE BURST")
 	rate, err := strconv.ParseFloat(args[0], 64)
 	ts.Check(err)
 	burst, err := strconv.ParseFloat(args[1], 64)
 	ts.Check(err)
 	var all []span
-	for _, a := range streamsIn(ts).admitted {
-		all = append(all, span{from: a.sent.UnixNano(), to: a.heard.UnixNano()})
+	for _, a := range streamsOfFleet(ts).admitted {
+		all = append(all, span{from: a.sent.UnixNano(), to: a.answered.UnixNano()})
 	}
-	worst := mostOver(all, rate, burst)
-	ts.Logf("most over the invariant: %.1f", worst)
+	worst := maxExcess(all, rate, burst)
+	ts.Logf("excess over burst + rate × length in the worst interval: %.1f", worst)
 	if worst > 0 {
 		ts.Fatalf("%.1f requests over burst %g + rate %g × length in some interval", worst, burst, rate)
 	}
 }
 
 func cmdShare(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "share PERCENT")
+	requireArgs(ts, args, 1, "share PERCENT")
 	percent, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	f := streamsIn(ts)
-	sent := len(f.admitted)
-	for _, count := range f.refused {
+	s := streamsOfFleet(ts)
+	sent := len(s.admitted)
+	for _, count := range s.refused {
 		sent += count
 	}
-	if len(f.admitted)*100 < sent*percent {
-		ts.Fatalf("%d of %d admitted, want %d%%", len(f.admitted), sent, percent)
+	if len(s.admitted)*100 < sent*percent {
+		ts.Fatalf("%d of %d admitted, want %d%%", len(s.admitted), sent, percent)
 	}
 }
 
 func cmdAtLeast(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "atLeast COUNT")
-	least, err := strconv.Atoi(args[0])
+	requireArgs(ts, args, 1, "atLeast COUNT")
+	minAdmitted, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	if n := len(streamsIn(ts).admitted); n < least {
-		ts.Fatalf("%d admitted, want at least %d", n, least)
+	if n := len(streamsOfFleet(ts).admitted); n < minAdmitted {
+		ts.Fatalf("%d admitted, want at least %d", n, minAdmitted)
 	}
 }
 
 func cmdRates(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 2, "rates NAME TEXT")
-	wait(ts, args[1], func() (string, bool) {
+	requireArgs(ts, args, 2, "rates NAME TEXT")
+	waitFor(ts, args[1], func() (string, bool) {
 		status := statusOf(ts, args[0])
 		return status, strings.Contains(status, args[1])
 	})
--- a/internal/proof/scenario/truth_test.go
+++ b/internal/proof/scenario/truth_test.go
@@ -21,21 +21,21 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/upstream"
 )
 
-// truthCommands are the commands of the scenarios on the truth of answers.
-func truthCommands() map[string]command {
+// consistencyCommands are the commands of scripts that check whether responses agree with what the upstreams ran.
+func consistencyCommands() map[string]command {
 	return map[string]command{
-		"newkey":   cmdNewKey,   // newkey NAME: set $NAME to an idempotency key that tells its time
-		"keyruns":  cmdKeyRuns,  // keyruns: print the number of idempotency keys that ran, and the most runs for one
-		"keyed":    cmdKeyed,    // keyed RATE METHOD PATH key=K: send requests up to three times each, with idempotency keys, anywhere
-		"keyedend": cmdKeyedEnd, // keyedend: stop, and print the most runs for one key
-		"digest":   cmdDigest,   // digest NAME METHOD PATH [options as for send]: as send, but print whether the body came back whole
-		"load":     cmdLoad,     // load RATE METHOD PATH key=K [timeout=D]: send requests at a steady rate to all hosts in turn, over kept connections
-		"loadend":  cmdLoadEnd,  // loadend: stop the load and print what became of it
+		"newkey":   cmdNewKey,   // newkey NAME: set $NAME to an idempotency key that contains its time
+		"keyruns":  cmdKeyRuns,  // keyruns: print the number of idempotency keys that ran, and the maximum number of runs for one
+		"keyed":    cmdKeyed,    // keyed RATE METHOD PATH key=K: send requests up to three times each, with idempotency keys, to random hosts
+		"keyedend": cmdKeyedEnd, // keyedend: stop, and print the outcomes and the maximum number of runs for one key
+		"digest":   cmdDigest,   // digest NAME METHOD PATH [options as for send]: as send, but print whether the whole body was echoed
+		"load":     cmdLoad,     // load RATE METHOD PATH key=K [timeout=D]: send requests at a steady rate to all hosts in turn, over keep-alive connections
+		"loadend":  cmdLoadEnd,  // loadend: stop the load and print the outcomes
 	}
 }
 
 func cmdNewKey(ts *testscript.TestScript, _ bool, args []string) {
-	need(ts, args, 1, "newkey NAME")
+	requireArgs(ts, args, 1, "newkey NAME")
 	ts.Setenv(args[0], uuid.Must(uuid.NewV7()).String())
 }
 
@@ -46,28 +46,28 @@
 		_, _ = io.WriteString(ts.Stdout(), out)
 		return
 	}
-	size, err := strconv.Atoi(pairs(ts, args[3:])["bytes"])
+	size, err := strconv.Atoi(parseOptions(ts, args[3:])["bytes"])
 	ts.Check(err)
 	whole := strings.Contains(out, `"echo":"`+strings.Repeat("x", size)+`"`)
 	fmt.Fprintf(ts.Stdout(), "%s %v\n", strings.Join(strings.Fields(out)[:2], " "), whole)
 }
 
-// load is requests at a steady rate, each sent once; a host that can't be connected to is passed over.
+// load sends requests at a steady rate and records their outcomes.
 type load struct {
 	fleet   *fleet
 	timeout time.Duration
 	stop    chan struct{}
-	done    sync.WaitGroup
+	senders sync.WaitGroup
 
-	mu       sync.Mutex
-	counts   map[string]int
-	faults   []string
-	notRun   []string
-	overRate int
-	// refused are the keys, and whether each of their attempts was answered notRun.
-	refused map[string]bool
-	// sent are the times at which the requests were last sent.
-	sent map[int]time.Time
+	mu        sync.Mutex
+	counts    map[string]int
+	failures  []string
+	notRunIDs []string
+	overRate  int
+	// allNotRun says for each idempotency key whether every attempt was answered notRun.
+	allNotRun map[string]bool
+	// lastSent has the time at which each request was last sent.
+	lastSent map[int]time.Time
 }
 
 const loadTimeout = 5 * time.Second
@@ -77,128 +77,128 @@
 }
 
 func startLoad(ts *testscript.TestScript, args []string) *load {
-	need(ts, args, 4, "RATE METHOD PATH key=K")
+	requireArgs(ts, args, 4, "RATE METHOD PATH key=K")
 	rate, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	l := newLoad(fleetOf(ts))
-	options := pairs(ts, args[3:])
+	options := parseOptions(ts, args[3:])
 	if raw, ok := options["timeout"]; ok {
 		l.timeout, err = time.ParseDuration(raw)
 		ts.Check(err)
 	}
 	key := options["key"]
-	l.done.Go(func() { l.run(time.Second/time.Duration(rate), args[1], args[2], key) })
+	l.senders.Go(func() { l.run(time.Second/time.Duration(rate), args[1], args[2], key) })
 	return l
 }
 
 func newLoad(f *fleet) *load {
-	return &load{fleet: f, timeout: loadTimeout, stop: make(chan struct{}), counts: map[string]int{}, refused: map[string]bool{}, sent: map[int]time.Time{}}
+	return &load{fleet: f, timeout: loadTimeout, stop: make(chan struct{}), counts: map[string]int{}, allNotRun: map[string]bool{}, lastSent: map[int]time.Time{}}
 }
 
-// end stops the load and waits for its answers.
-func (l *load) end() {
+// finish stops the load and waits for the outstanding responses.
+func (l *load) finish() {
 	close(l.stop)
-	l.done.Wait()
+	l.senders.Wait()
 }
 
-func (l *load) sending(number int) {
+func (l *load) recordSent(number int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sent[number] = time.Now()
+	l.lastSent[number] = time.Now()
 }
 
-func (l *load) run(every time.Duration, method, path, key string) {
-	tick := time.NewTicker(every)
+func (l *load) run(interval time.Duration, method, path, key string) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for number := 0; ; number++ {
 		select {
 		case <-l.stop:
 			return
 		case <-tick.C:
-			l.done.Go(func() { l.send(number, method, path, key) })
+			l.senders.Go(func() { l.send(number, method, path, key) })
 		}
 	}
 }
 
-// send tries the hosts in turn until one can be connected to; nothing was sent to the others.
+// send sends the request to the first host, in turn, that accepts a connection; nothing is sent to the others.
 func (l *load) send(number int, method, path, key string) {
-	for i := range l.fleet.order {
-		h := l.fleet.hosts[l.fleet.order[(number+i)%len(l.fleet.order)]]
+	for i := range l.fleet.hostNames {
+		h := l.fleet.hosts[l.fleet.hostNames[(number+i)%len(l.fleet.hostNames)]]
 		url := "http://" + l.fleet.address(h.number, callersPort).String() + path
-		req, _ := http.NewRequest(method, url, &plainBody{strings.NewReader(fmt.Sprintf("load-%d", number))})
+		req, _ := http.NewRequest(method, url, &unreplayableBody{strings.NewReader(fmt.Sprintf("load-%d", number))})
 		req.Header.Set("Authorization", "Bearer "+key)
 		req.Header.Set(upstream.HeaderTimeout, strconv.FormatInt(l.timeout.Milliseconds(), 10))
-		l.sending(number)
-		req, way := traced(req)
-		out, err := exchange(req)
+		l.recordSent(number)
+		req, connTrace := traced(req)
+		out, err := sendRequest(req)
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
 			continue
 		}
-		l.note(number, out, errors.Join(err, way.fault(err)))
+		l.record(number, out, errors.Join(err, connTrace.describe(err)))
 		return
 	}
-	l.note(number, "", errors.New("no host can be connected to"))
+	l.record(number, "", errors.New("no host accepts connections"))
 }
 
-// way is what a request's connection went through, told beside its fault.
-type way struct {
-	begun time.Time
-	conn  httptrace.GotConnInfo
+// connectionTrace describes a request's connection, for the message of a failure.
+type connectionTrace struct {
+	started time.Time
+	conn    httptrace.GotConnInfo
 }
 
-func traced(req *http.Request) (*http.Request, *way) {
-	w := &way{begun: time.Now()}
-	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { w.conn = info }}
-	return req.WithContext(httptrace.WithClientTrace(req.Context(), trace)), w
+func traced(req *http.Request) (*http.Request, *connectionTrace) {
+	t := &connectionTrace{started: time.Now()}
+	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { t.conn = info }}
+	return req.WithContext(httptrace.WithClientTrace(req.Context(), trace)), t
 }
 
-func (w *way) fault(err error) error {
+func (t *connectionTrace) describe(err error) error {
 	if err == nil {
 		return nil
 	}
 	return fmt.Errorf("sent at %s, failed after %s, connection reused=%v idle=%s",
-		w.begun.Format(time.StampMilli), time.Since(w.begun), w.conn.Reused, w.conn.IdleTime)
+		t.started.Format(time.StampMilli), time.Since(t.started), t.conn.Reused, t.conn.IdleTime)
 }
 
-// plainBody keeps the client from sending a request again by itself.
-type plainBody struct{ io.Reader }
+// unreplayableBody keeps the HTTP client from resending a request by itself.
+type unreplayableBody struct{ io.Reader }
 
-func (l *load) note(number int, out string, err error) {
-	what := "broken"
+func (l *load) record(number int, out string, err error) {
+	result := "broken"
 	if err == nil {
-		what = strings.Fields(out)[1]
-		if what == call.Whole.String() && !strings.Contains(out, fmt.Sprintf(`"echo":"load-%d"`, number)) {
-			what = "crossed"
+		result = strings.Fields(out)[1]
+		if result == call.Whole.String() && !strings.Contains(out, fmt.Sprintf(`"echo":"load-%d"`, number)) {
+			result = "crossed"
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counts[what]++
-	if id := requestID.FindStringSubmatch(out); what == call.NotRun.String() && id != nil {
-		l.notRun = append(l.notRun, id[1])
+	l.counts[result]++
+	if id := requestIDPattern.FindStringSubmatch(out); result == call.NotRun.String() && id != nil {
+		l.notRunIDs = append(l.notRunIDs, id[1])
 	}
 	if strings.Contains(out, call.OverRate.String()) {
 		l.overRate++
 		return
 	}
-	if what != call.Whole.String() {
-		l.faults = append(l.faults, fmt.Sprintf("%d: %s%v", number, out, err))
+	if result != call.Whole.String() {
+		l.failures = append(l.failures, fmt.Sprintf("%d: %s%v", number, out, err))
 	}
 }
 
-var requestID = regexp.MustCompile(`"requestId":"([^"]+)"`)
+var requestIDPattern = regexp.MustCompile(`"requestId":"([^"]+)"`)
 
-// untrue returns how many of the requests that were called not run did run.
-func (l *load) untrue(ts *testscript.TestScript) int {
+// notRunButRan returns how many requests were answered notRun and yet ran.
+func (l *load) notRunButRan(ts *testscript.TestScript) int {
 	ran := map[string]bool{}
-	for _, name := range l.fleet.order {
-		for id := range runsOf(ts, name) {
+	for _, name := range l.fleet.hostNames {
+		for id := range upstreamRuns(ts, name) {
 			ran[id] = true
 		}
 	}
 	count := 0
-	for _, id := range l.notRun {
+	for _, id := range l.notRunIDs {
 		if ran[id] {
 			count++
 		}
@@ -206,7 +206,7 @@
 	return count
 }
 
-func runsOf(ts *testscript.TestScript, name string) map[string]int {
+func upstreamRuns(ts *testscript.TestScript, name string) map[string]int {
 	f := fleetOf(ts)
 	res, err := http.Get(fmt.Sprintf("http://%s/standin/runs", f.address(f.hosts[name].number, upstreamPort)))
 	ts.Check(err)
@@ -218,17 +218,17 @@
 
 func cmdLoadEnd(ts *testscript.TestScript, _ bool, _ []string) {
 	l := fleetOf(ts).load
-	l.end()
+	l.finish()
 	fmt.Fprintf(ts.Stdout(), "whole=%d notRun=%d outcomeUnknown=%d crossed=%d broken=%d untrue=%d\n%s\n",
-		l.counts["whole"], l.counts["notRun"], l.counts["outcomeUnknown"], l.counts["crossed"], l.counts["broken"], l.untrue(ts),
-		strings.Join(l.faults, "\n"))
+		l.counts["whole"], l.counts["notRun"], l.counts["outcomeUnknown"], l.counts["crossed"], l.counts["broken"], l.notRunButRan(ts),
+		strings.Join(l.failures, "\n"))
 }
 
-// keyRuns returns the runs for each idempotency key over all upstreams, and the most for one.
+// keyRuns returns the runs for each idempotency key at all upstreams, and the maximum for one.
 func keyRuns(ts *testscript.TestScript) (runs map[string]int, most int) {
 	f := fleetOf(ts)
 	runs = map[string]int{}
-	for _, name := range f.order {
+	for _, name := range f.hostNames {
 		res, err := http.Get(fmt.Sprintf("http://%s/standin/keys", f.address(f.hosts[name].number, upstreamPort)))
 		ts.Check(err)
 		one := map[string]int{}
