--- a/internal/ctl/diff/doc.go
+++ b/internal/ctl/diff/doc.go
@@ -1,2 +1,2 @@
-// Package diff tells what a change of the lists would do to each organisation.
+// Package diff compares two sets of lists and describes the changes for each organisation.
 package diff
