--- a/internal/app/daemon/dispatch.go
+++ b/internal/app/daemon/dispatch.go
@@ -153,11 +153,11 @@
 	case a.Outcome == call.Whole && a.Load.Pressure > 0:
 		return placing.Inconclusive
 	case a.Outcome == call.Whole:
-		return placing.Faulty
+		return placing.UpstreamFailed
 	case a.Reason.Overload():
 		return placing.Declined
 	case a.Reason == call.NoUpstream, a.Reason == call.Draining, a.Reason == call.AnswerLost:
-		return placing.Failed
+		return placing.NoResponse
 	default:
 		return placing.Inconclusive
 	}
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -214,7 +214,7 @@
 }
 
 func (c *control) configure() {
-	rates := map[string]quota.Rate{}
+	rates := map[string]quota.RateLimit{}
 	for _, organisation := range c.catalog.Config().Organisations {
 		rates[organisation.Name] = rateOf(organisation)
 	}
@@ -226,8 +226,8 @@
 	})
 }
 
-func rateOf(organisation routing.Organisation) quota.Rate {
-	return quota.Rate{PerSecond: organisation.Rate, Burst: max(organisation.Burst, 1)}
+func rateOf(organisation routing.Organisation) quota.RateLimit {
+	return quota.RateLimit{PerSecond: organisation.Rate, Burst: max(organisation.Burst, 1)}
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/decide/placing/kind.go
+++ b/internal/decide/placing/kind.go
@@ -26,12 +26,12 @@
 const (
 	// Served means that the host's upstream responded.
 	Served Result = iota // served
-	// Faulty means that the upstream responded with an error of its own.
-	Faulty // faulty
+	// UpstreamFailed means that the upstream responded with an error of its own.
+	UpstreamFailed // faulty
 	// Declined means that the host declined the request for overload.
 	Declined // declined
-	// Failed means that the host was unreachable or its response was incomplete.
-	Failed // failed
+	// NoResponse means that the host was unreachable or its response was incomplete.
+	NoResponse // failed
 	// Inconclusive means that the result carries no information on the host.
 	Inconclusive // silent
 )
--- a/internal/decide/placing/member.go
+++ b/internal/decide/placing/member.go
@@ -33,8 +33,8 @@
 	// relativeLatencyWeight is the weight of one served request in relativeLatency; the next four are the weights of one result in the
 	// failure and decline rates.
 	relativeLatencyWeight = 0.2
-	failedWeight          = 0.5
-	faultyWeight          = 0.1
+	noResponseWeight      = 0.5
+	upstreamFailedWeight  = 0.1
 	declinedWeight        = 0.3
 	servedWeight          = 0.3
 	// The bounds keep one estimate or report from dominating a host's score.
@@ -129,11 +129,11 @@
 		m.relativeLatency += (min(max(ratio, minRelativeLatency), maxRelativeLatency) - m.relativeLatency) * relativeLatencyWeight
 		m.failureRate -= m.failureRate * servedWeight
 		m.declineRate -= m.declineRate * servedWeight
-	case Faulty:
-		m.failureRate += (1 - m.failureRate) * faultyWeight
+	case UpstreamFailed:
+		m.failureRate += (1 - m.failureRate) * upstreamFailedWeight
 	case Declined:
 		m.declineRate += (1 - m.declineRate) * declinedWeight
-	case Failed:
-		m.failureRate += (1 - m.failureRate) * failedWeight
+	case NoResponse:
+		m.failureRate += (1 - m.failureRate) * noResponseWeight
 	}
 }
--- a/internal/decide/placing/placer_test.go
+++ b/internal/decide/placing/placer_test.go
@@ -111,13 +111,13 @@
 		}, 0.002, 0.1},
 		{"an unreachable host that fails at once gets few requests", func(h, n int) (time.Duration, Result, call.Load) {
 			if h == 0 {
-				return ms / 10, Failed, call.Load{}
+				return ms / 10, NoResponse, call.Load{}
 			}
 			return healthy(h, n)
 		}, 0.001, 0.05},
 		{"an upstream that fails fast gets few requests", func(h, n int) (time.Duration, Result, call.Load) {
 			if h == 0 {
-				return ms / 10, Faulty, call.Load{Limit: 20}
+				return ms / 10, UpstreamFailed, call.Load{Limit: 20}
 			}
 			return healthy(h, n)
 		}, 0.001, 0.1},
@@ -135,7 +135,7 @@
 			return d, e, l
 		}, 0.002, 0.2},
 		{"equal failures of all hosts leave the shares equal", func(int, int) (time.Duration, Result, call.Load) {
-			return 5 * ms, Failed, call.Load{}
+			return 5 * ms, NoResponse, call.Load{}
 		}, 0.15, 0.25},
 	}
 	for _, c := range cases {
@@ -169,7 +169,7 @@
 		p := New("elsewhere", choose)
 		drive(p, hosts(5), start, 10*time.Second, ms, func(h, n int) (time.Duration, Result, call.Load) {
 			if h == 0 {
-				return ms, Failed, call.Load{}
+				return ms, NoResponse, call.Load{}
 			}
 			return healthy(h, n)
 		})
--- a/internal/decide/placing/region_test.go
+++ b/internal/decide/placing/region_test.go
@@ -53,7 +53,7 @@
 	}
 	dead := func(h, running int) (time.Duration, Result, call.Load) {
 		if h < hostsPerRegion {
-			return ms, Failed, call.Load{}
+			return ms, NoResponse, call.Load{}
 		}
 		return busy(h, running)
 	}
--- a/internal/decide/placing/result_string.go
+++ b/internal/decide/placing/result_string.go
@@ -9,9 +9,9 @@
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
 	_ = x[Served-0]
-	_ = x[Faulty-1]
+	_ = x[UpstreamFailed-1]
 	_ = x[Declined-2]
-	_ = x[Failed-3]
+	_ = x[NoResponse-3]
 	_ = x[Inconclusive-4]
 }
 
--- a/internal/decide/quota/fleet_test.go
+++ b/internal/decide/quota/fleet_test.go
@@ -28,7 +28,7 @@
 // fleet simulates daemons with their own heartbeat times, their collector, and clients of one organisation.
 type fleet struct {
 	size    int
-	rate    Rate
+	rate    RateLimit
 	rng     *rand.Rand
 	daemons []*daemon
 	pool    *Pool
@@ -52,7 +52,7 @@
 	dead, partitioned bool
 }
 
-func newFleet(daemons, clients int, r Rate, seed uint64) *fleet {
+func newFleet(daemons, clients int, r RateLimit, seed uint64) *fleet {
 	f := &fleet{size: daemons, rate: r, rng: rand.New(rand.NewPCG(seed, uint64(daemons))), now: time.Unix(1000, 0)}
 	f.start = f.now
 	for n := range daemons {
@@ -75,7 +75,7 @@
 // restart starts a daemon with empty state.
 func (f *fleet) restart(d *daemon) {
 	d.Quota = New(WithRand(f.rng.Float64))
-	d.Configure(map[string]Rate{"o": f.rate})
+	d.Configure(map[string]RateLimit{"o": f.rate})
 	d.SetDaemons(f.size)
 	d.dead, d.started, d.lastHeartbeat = false, f.now, f.now
 	d.nextHeartbeat = f.now.Add(time.Duration(f.rng.Float64() * float64(startSpread)))
@@ -84,7 +84,7 @@
 // replaceCollector replaces the collector with a new one.
 func (f *fleet) replaceCollector() {
 	f.pool = NewPool()
-	f.pool.Configure(map[string]Rate{"o": f.rate})
+	f.pool.Configure(map[string]RateLimit{"o": f.rate})
 }
 
 // heartbeat sends the daemon's report to the collector and applies its allocations.
@@ -179,7 +179,7 @@
 }
 
 // maxAdmitted is the largest number of requests allowed in any window.
-func maxAdmitted(r Rate) int {
+func maxAdmitted(r RateLimit) int {
 	return int((r.PerSecond*window.Seconds()+r.Burst)*(1+overage) + slack)
 }
 
@@ -194,7 +194,7 @@
 	for _, size := range sizes {
 		for _, rate := range rates {
 			for _, clients := range []int{7, 600} {
-				f := newFleet(size, clients, Rate{PerSecond: rate, Burst: rate}, 7)
+				f := newFleet(size, clients, RateLimit{PerSecond: rate, Burst: rate}, 7)
 				Convey(fmt.Sprintf("%d daemons, %v a second, %d clients", size, rate, clients), func() { scenario(f) })
 			}
 		}
--- a/internal/decide/quota/pool.go
+++ b/internal/decide/quota/pool.go
@@ -13,7 +13,7 @@
 // daemons would often lie unused at the wrong ones, and a whole token for each daemon would exceed the rate in a fleet of hundreds.
 // An admitted fraction that is the same on all daemons avoids both: the total admitted is that fraction of the demand, wherever it arrives.
 type Pool struct {
-	rates   map[string]Rate
+	rates   map[string]RateLimit
 	buckets map[string]*bucket
 	reports map[reporter]*report
 	// totals are the sums of the daemons' counts since the pool started, for the fleet's collector.
@@ -87,11 +87,11 @@
 
 // NewPool returns a pool without tokens, since those spent before it started are unknown.
 func NewPool() *Pool {
-	return &Pool{rates: map[string]Rate{}, buckets: map[string]*bucket{}, reports: map[reporter]*report{}, totals: map[string]timedCount{}, coverage: 1}
+	return &Pool{rates: map[string]RateLimit{}, buckets: map[string]*bucket{}, reports: map[reporter]*report{}, totals: map[string]timedCount{}, coverage: 1}
 }
 
 // Configure sets the rate limits.
-func (p *Pool) Configure(rates map[string]Rate) { p.rates = rates }
+func (p *Pool) Configure(rates map[string]RateLimit) { p.rates = rates }
 
 // SetCoverage sets how many of all daemons have reported to this collector recently.
 //
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -16,7 +16,7 @@
 type Quota struct {
 	mu          sync.Mutex
 	rand        func() float64
-	rates       map[string]Rate
+	rates       map[string]RateLimit
 	daemons     int
 	meters      map[string]*meter
 	allocations map[string]Allocation
@@ -69,7 +69,7 @@
 
 // New returns a quota without rate limits, which admits all requests.
 func New(opts ...Option) *Quota {
-	q := &Quota{rand: rand.Float64, daemons: 1, rates: map[string]Rate{}, meters: map[string]*meter{}}
+	q := &Quota{rand: rand.Float64, daemons: 1, rates: map[string]RateLimit{}, meters: map[string]*meter{}}
 	for _, opt := range opts {
 		opt(q)
 	}
@@ -77,7 +77,7 @@
 }
 
 // Configure sets the rate limits.
-func (q *Quota) Configure(rates map[string]Rate) {
+func (q *Quota) Configure(rates map[string]RateLimit) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.rates = rates
@@ -199,7 +199,7 @@
 
 // admitByShare decides in fallback mode. The threshold for spending a token differs between daemons: most daemons of a large fleet never
 // have a whole token, and together they should admit the rate, rather than nothing or one request each.
-func (q *Quota) admitByShare(m *meter, r Rate, now time.Time, d *Decision) {
+func (q *Quota) admitByShare(m *meter, r RateLimit, now time.Time, d *Decision) {
 	share := 1 / float64(q.daemons)
 	if !q.applied.IsZero() {
 		share = demandShareWeight*m.demandShare + (1-demandShareWeight)*share
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -68,7 +68,7 @@
 	})
 	// Guards against initial tokens in proportion to the rate: 95 starting daemons admitted 190 requests beyond a rate of 70 in half a second.
 	Convey("Daemons without allocations since their start admit one request each plus their share of the rate", t, func() {
-		f := newFleet(95, 600, Rate{PerSecond: 70, Burst: 70}, 1)
+		f := newFleet(95, 600, RateLimit{PerSecond: 70, Burst: 70}, 1)
 		const startupTime = 600 * time.Millisecond
 		admitted := 0
 		for end := f.now.Add(startupTime); f.now.Before(end); f.now = f.now.Add(step) {
@@ -165,7 +165,7 @@
 	})
 	// Guards against a daemon that refuses all requests when it receives no allocations for a while.
 	Convey("A partitioned daemon uses its last share of the demand", t, func() {
-		f := newFleet(95, 7, Rate{PerSecond: 40, Burst: 40}, 3)
+		f := newFleet(95, 7, RateLimit{PerSecond: 40, Burst: 40}, 3)
 		f.play(4*time.Second, 1)
 		for _, d := range f.daemons {
 			d.partitioned = true
@@ -189,7 +189,7 @@
 		})
 	})
 	Convey("A daemon that has just started admits its first request", t, func() {
-		f := newFleet(95, 7, Rate{PerSecond: 8, Burst: 8}, 3)
+		f := newFleet(95, 7, RateLimit{PerSecond: 8, Burst: 8}, 3)
 		So(f.daemons[0].Admit("o", f.now).Admitted, ShouldBeTrue)
 	})
 }
@@ -197,7 +197,7 @@
 func TestRefund(t *testing.T) {
 	// Guards against an organisation's rate being used up by requests that a full service refused.
 	Convey("A request that did not run isn't counted as admitted", t, func() {
-		f := newFleet(1, 1, Rate{PerSecond: 10, Burst: 10}, 1)
+		f := newFleet(1, 1, RateLimit{PerSecond: 10, Burst: 10}, 1)
 		d := f.daemons[0]
 		decision := d.Admit("o", f.now)
 		So(decision.Counted, ShouldBeTrue)
@@ -227,7 +227,7 @@
 	for _, c := range cases {
 		Convey("Counts are evaluated correctly: "+c.name, t, func() {
 			p := NewPool()
-			p.Configure(map[string]Rate{"o": {PerSecond: 1000, Burst: 10}})
+			p.Configure(map[string]RateLimit{"o": {PerSecond: 1000, Burst: 10}})
 			p.Update(a, false, map[string]Count{"o": c.first}, c.up, now)
 			So(demand(p, now)*demandTimeConstant.Seconds(), ShouldAlmostEqual, c.wantFirst)
 			p.Update(a, false, map[string]Count{"o": c.second}, c.up, now)
@@ -243,7 +243,7 @@
 	a := netip.MustParseAddrPort("10.0.0.1:1")
 	play := func(up time.Duration) float64 {
 		p := NewPool()
-		p.Configure(map[string]Rate{"o": {PerSecond: 1000, Burst: 10}})
+		p.Configure(map[string]RateLimit{"o": {PerSecond: 1000, Burst: 10}})
 		p.Update(a, false, nil, up, now)
 		p.Update(a, false, map[string]Count{"o": {500, 500}}, up, now)
 		p.Update(a, false, map[string]Count{"o": {503, 503}}, up, now)
--- a/internal/decide/quota/rate.go
+++ b/internal/decide/quota/rate.go
@@ -1,7 +1,7 @@
 package quota
 
-// Rate is an organisation's rate limit over the whole fleet; zero means no limit.
-type Rate struct {
+// RateLimit is an organisation's rate limit over the whole fleet; zero means no limit.
+type RateLimit struct {
 	// PerSecond is in requests per second, and Burst in requests.
 	PerSecond float64
 	Burst     float64
--- a/internal/decide/shed/lane.go
+++ b/internal/decide/shed/lane.go
@@ -20,8 +20,8 @@
 	Rank    Rank   `msgpack:"rank"`
 }
 
-// Rate is the rate at which a class's requests arrive at a daemon.
-type Rate struct {
+// ArrivalRate is the rate at which a class's requests arrive at a daemon.
+type ArrivalRate struct {
 	Class     Class   `msgpack:"lane"`
 	PerSecond float64 `msgpack:"perSecond"`
 }
--- a/internal/decide/shed/shed.go
+++ b/internal/decide/shed/shed.go
@@ -145,18 +145,18 @@
 }
 
 // Demand returns the arrival rate of each class for the next heartbeat, and must be called once per heartbeat.
-func (s *Shedder) Demand(now time.Time) []Rate {
+func (s *Shedder) Demand(now time.Time) []ArrivalRate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	elapsed := now.Sub(s.reported).Seconds()
 	s.reported = now
-	rates := make([]Rate, 0, len(s.classes))
+	rates := make([]ArrivalRate, 0, len(s.classes))
 	for class, c := range s.classes {
 		latest := float64(c.arrivals) / max(elapsed, maxElapsed.Seconds()/10)
 		c.rate += (latest - c.rate) * arrivalRateWeight
 		c.arrivals = 0
 		if c.rate > negligibleRate {
-			rates = append(rates, Rate{Class: class, PerSecond: c.rate})
+			rates = append(rates, ArrivalRate{Class: class, PerSecond: c.rate})
 		}
 	}
 	return rates
--- a/internal/decide/shed/shed_test.go
+++ b/internal/decide/shed/shed_test.go
@@ -140,7 +140,7 @@
 			s.Admit(class, 0, now)
 		}
 		now := now.Add(300 * time.Millisecond)
-		So(s.Demand(now), ShouldResemble, []Rate{{Class: class, PerSecond: 60}})
+		So(s.Demand(now), ShouldResemble, []ArrivalRate{{Class: class, PerSecond: 60}})
 		for range 10 {
 			now = now.Add(300 * time.Millisecond)
 			s.Demand(now)
--- a/internal/fleet/collect/collector.go
+++ b/internal/fleet/collect/collector.go
@@ -84,7 +84,7 @@
 }
 
 // Configure replaces the rate limits of the organisations.
-func (c *Collector) Configure(rates map[string]quota.Rate) {
+func (c *Collector) Configure(rates map[string]quota.RateLimit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rates.Configure(rates)
--- a/internal/fleet/collect/goroutines_test.go
+++ b/internal/fleet/collect/goroutines_test.go
@@ -21,7 +21,7 @@
 	Convey("Daemons send heartbeats to a collector while it sends group heartbeats and applies the replies", t, func() {
 		const senders, heartbeats = 8, 200
 		c := New(discardObserver{}, mechanism.Set{})
-		c.Configure(map[string]quota.Rate{"o": {PerSecond: 1, Burst: 1}})
+		c.Configure(map[string]quota.RateLimit{"o": {PerSecond: 1, Burst: 1}})
 		start := time.Unix(1000, 0)
 		var done sync.WaitGroup
 		for n := range senders {
--- a/internal/fleet/collect/model_test.go
+++ b/internal/fleet/collect/model_test.go
@@ -36,7 +36,7 @@
 	start    time.Time
 	now      time.Time
 	topology *Topology
-	rate     quota.Rate
+	rate     quota.RateLimit
 	daemons  []*daemon
 	byHost   map[netip.Addr]*daemon
 	clients  []int
@@ -71,7 +71,7 @@
 func newFleet(size, clients int, perSecond float64) *fleet {
 	f := &fleet{
 		size: size, rng: rand.New(rand.NewPCG(11, uint64(size))), now: time.Unix(1000, 0), byHost: map[netip.Addr]*daemon{},
-		rate: quota.Rate{PerSecond: perSecond, Burst: perSecond},
+		rate: quota.RateLimit{PerSecond: perSecond, Burst: perSecond},
 	}
 	f.start = f.now
 	hosts := newHosts(size, 11)
@@ -90,7 +90,7 @@
 
 // restart starts the daemon without any state.
 func (f *fleet) restart(d *daemon) {
-	rates := map[string]quota.Rate{"o": f.rate}
+	rates := map[string]quota.RateLimit{"o": f.rate}
 	d.Quota = quota.New(quota.WithRand(f.rng.Float64))
 	d.Quota.Configure(rates)
 	d.SetDaemons(f.size)
--- a/internal/fleet/demand/collector.go
+++ b/internal/fleet/demand/collector.go
@@ -38,7 +38,7 @@
 	// Services has the services of the instances on the daemons' hosts.
 	Services map[string]Service `msgpack:"services"`
 	// Demand is the arrival rate of callers' requests at these daemons, by class.
-	Demand []shed.Rate `msgpack:"lanes"`
+	Demand []shed.ArrivalRate `msgpack:"lanes"`
 	// RetryRates are the retries that the daemons have earned and want to send, by service.
 	RetryRates map[string]repeats.Rates `msgpack:"repeats"`
 }
@@ -143,7 +143,7 @@
 	}
 	out := Report{Daemons: sum.daemons, Services: sum.services, RetryRates: sum.retryRates}
 	for class, perSecond := range sum.demand {
-		out.Demand = append(out.Demand, shed.Rate{Class: class, PerSecond: perSecond})
+		out.Demand = append(out.Demand, shed.ArrivalRate{Class: class, PerSecond: perSecond})
 	}
 	return out
 }
--- a/internal/fleet/demand/collector_bench_test.go
+++ b/internal/fleet/demand/collector_bench_test.go
@@ -22,7 +22,7 @@
 				report.RetryRates[fmt.Sprint("s", n)] = repeats.Rates{Earned: 5, Wanted: 20}
 			}
 			for n := range classes {
-				report.Demand = append(report.Demand, shed.Rate{Class: shed.Class{Route: fmt.Sprint("r", n)}, PerSecond: 10})
+				report.Demand = append(report.Demand, shed.ArrivalRate{Class: shed.Class{Route: fmt.Sprint("r", n)}, PerSecond: 10})
 			}
 			pause := interval / time.Duration(daemons)
 			now := time.Unix(1000, 0)
--- a/internal/fleet/demand/collector_test.go
+++ b/internal/fleet/demand/collector_test.go
@@ -11,8 +11,8 @@
 	"github.com/foxtailhook/foxtailhook/internal/decide/shed"
 )
 
-func lookupDemand(perSecond float64) []shed.Rate {
-	return []shed.Rate{{Class: shed.Class{Route: "lookup", Service: "s"}, PerSecond: perSecond}}
+func lookupDemand(perSecond float64) []shed.ArrivalRate {
+	return []shed.ArrivalRate{{Class: shed.Class{Route: "lookup", Service: "s"}, PerSecond: perSecond}}
 }
 
 // reportOf returns the report of a daemon with one instance.
--- a/internal/load/chain/host.go
+++ b/internal/load/chain/host.go
@@ -193,7 +193,7 @@
 	case a.pressure > 0:
 		return placing.Inconclusive
 	default:
-		return placing.Failed
+		return placing.NoResponse
 	}
 }
 
