--- a/internal/app/daemon/once.go
+++ b/internal/app/daemon/once.go
@@ -51,25 +51,25 @@
 }
 
 // observe records the hosts of the daemon's own service; it runs on the control goroutine.
-func (r *deduplicator) observe(view *lists.View, now time.Time) {
-	r.history.Observe(view.Version(lists.KindHosts), holders(view, r.daemon.settings.Service), now)
-	r.updateAddresses(view, now)
+func (d *deduplicator) observe(view *lists.View, now time.Time) {
+	d.history.Observe(view.Version(lists.KindHosts), holders(view, d.daemon.settings.Service), now)
+	d.updateAddresses(view, now)
 }
 
 // updateAddresses keeps the addresses of all hosts that may still be asked about a key.
-func (r *deduplicator) updateAddresses(view *lists.View, now time.Time) {
+func (d *deduplicator) updateAddresses(view *lists.View, now time.Time) {
 	addresses := map[string]netip.AddrPort{}
-	if previous := r.addresses.Load(); previous != nil {
-		for _, name := range r.history.AllHosts(now) {
+	if previous := d.addresses.Load(); previous != nil {
+		for _, name := range d.history.AllHosts(now) {
 			if address, ok := (*previous)[name]; ok {
 				addresses[name] = address
 			}
 		}
 	}
-	for _, h := range view.HostsOf(r.daemon.settings.Service) {
+	for _, h := range view.HostsOf(d.daemon.settings.Service) {
 		addresses[h.Host] = h.Peer
 	}
-	r.addresses.Store(&addresses)
+	d.addresses.Store(&addresses)
 }
 
 // holders returns the hosts of a service that may hold keys. A leaving host transfers its keys, so it holds none.
@@ -92,15 +92,15 @@
 
 // route sends a request with an idempotency key to the key's holder unless its operation is idempotent. It dispatches
 // all others to any host.
-func (r *deduplicator) route(ctx context.Context, a admittedRequest) call.Answer {
+func (d *deduplicator) route(ctx context.Context, a admittedRequest) call.Answer {
 	if a.request.Idempotent || a.request.IdempotencyKey == "" {
-		return r.daemon.dispatch(ctx, a)
+		return d.daemon.dispatch(ctx, a)
 	}
 	ctx, cancel := context.WithDeadline(ctx, a.request.Deadline)
 	defer cancel()
 	answer := call.Refuse(call.NoUpstream, time.Second)
 	for attempt := 1; attempt <= maxHolderAttempts; attempt++ {
-		answer = r.sendToHolder(ctx, a)
+		answer = d.sendToHolder(ctx, a)
 		if answer.Outcome != call.NotRun || answer.Reason != call.Draining {
 			break
 		}
@@ -114,67 +114,67 @@
 	return ledger.Key{Organisation: r.Organisation, Operation: r.Operation, Text: r.IdempotencyKey}
 }
 
-func (r *deduplicator) sendToHolder(ctx context.Context, a admittedRequest) call.Answer {
-	view := r.daemon.view.Load()
+func (d *deduplicator) sendToHolder(ctx context.Context, a admittedRequest) call.Answer {
+	view := d.daemon.view.Load()
 	holder := ledger.Holder(keyOf(&a.request), holders(view, a.request.Service))
 	host, ok := view.Host(holder)
 	if !ok {
 		return call.Refuse(call.NoUpstream, time.Second)
 	}
-	if holder == r.daemon.settings.Host {
-		return r.runOnce(ctx, a)
+	if holder == d.daemon.settings.Host {
+		return d.runOnce(ctx, a)
 	}
-	if retryAfter := r.daemon.members.Load().RetryDelay(holder, time.Now()); retryAfter > 0 {
+	if retryAfter := d.daemon.members.Load().RetryDelay(holder, time.Now()); retryAfter > 0 {
 		return call.Refuse(call.NoUpstream, retryAfter)
 	}
 	sent := a.request
-	if sent.Budget = r.daemon.drawBudget(ctx, a); sent.Budget == 0 {
+	if sent.Budget = d.daemon.drawBudget(ctx, a); sent.Budget == 0 {
 		return noBudgetRefusal(ctx)
 	}
-	answer := r.forwardToHolder(ctx, host, &sent)
+	answer := d.forwardToHolder(ctx, host, &sent)
 	a.account.Settle(sent.Budget, answer.BudgetLeft)
 	return answer
 }
 
-func (r *deduplicator) forwardToHolder(ctx context.Context, host lists.Host, sent *call.Request) call.Answer {
-	reply, err := peer.Call[runRequest, runResult](ctx, r.daemon.peers, host.Peer, peer.KindRunOnce, newRunRequest(sent, time.Now()))
+func (d *deduplicator) forwardToHolder(ctx context.Context, host lists.Host, sent *call.Request) call.Answer {
+	reply, err := peer.Call[runRequest, runResult](ctx, d.daemon.peers, host.Peer, peer.KindRunOnce, newRunRequest(sent, time.Now()))
 	if err == nil {
 		return reply.answer()
 	}
-	answer := r.daemon.forwardingFailure(sent, err)
+	answer := d.daemon.forwardingFailure(sent, err)
 	// The holder may be in another region, where this daemon exchanges no digests with it. Unless failed requests are
 	// reported, each of them would wait for the holder until its own deadline for as long as the regions are partitioned.
-	r.daemon.checkAnswer(host.Host, answer)
+	d.daemon.checkAnswer(host.Host, answer)
 	return answer
 }
 
-func (r *deduplicator) handleOnce(ctx context.Context, _ netip.AddrPort, req runRequest) runResult {
-	defer r.daemon.inFlight.begin().end()
+func (d *deduplicator) handleOnce(ctx context.Context, _ netip.AddrPort, req runRequest) runResult {
+	defer d.daemon.inFlight.begin().end()
 	a := admittedRequest{request: *req.request(time.Now()), account: budget.New(req.Budget)}
-	release, ok := r.daemon.callerServer.Hold(len(req.Body))
+	release, ok := d.daemon.callerServer.Hold(len(req.Body))
 	if !ok {
 		return newRunResult(bodyMemoryRefusal(&a.request))
 	}
 	defer release()
-	answer := r.runOnce(ctx, a)
+	answer := d.runOnce(ctx, a)
 	answer.BudgetLeft = a.account.Left()
 	return newRunResult(answer)
 }
 
 // runOnce runs a request on its key's holder, or returns the outcome of the request that used the key first.
-func (r *deduplicator) runOnce(ctx context.Context, a admittedRequest) call.Answer {
+func (d *deduplicator) runOnce(ctx context.Context, a admittedRequest) call.Answer {
 	key := keyOf(&a.request)
-	if r.handedOver.Load() || ledger.Holder(key, r.history.Hosts()) != r.daemon.settings.Host {
+	if d.handedOver.Load() || ledger.Holder(key, d.history.Hosts()) != d.daemon.settings.Host {
 		return call.Refuse(call.Draining, time.Second)
 	}
 	fingerprint := ledger.NewFingerprint(a.request.Method, a.request.Path, a.request.Body)
 	ctx, cancel := context.WithDeadline(ctx, a.request.Deadline)
 	defer cancel()
 	for {
-		ticket := r.ledger.Begin(key, fingerprint, time.Now())
+		ticket := d.ledger.Begin(key, fingerprint, time.Now())
 		switch ticket.Claim {
 		case ledger.Begun:
-			return r.runNewKey(ctx, a, key, ticket)
+			return d.runNewKey(ctx, a, key, ticket)
 		case ledger.Joined:
 			select {
 			case <-ticket.Done:
@@ -198,15 +198,15 @@
 //
 // The run goes on if the caller disconnects: its deadline bounds it, and the caller may retry with the same key
 // to get the response.
-func (r *deduplicator) runNewKey(ctx context.Context, a admittedRequest, key ledger.Key, ticket ledger.Ticket) call.Answer {
-	answer, known := r.askOthers(ctx, key, ticket)
+func (d *deduplicator) runNewKey(ctx context.Context, a admittedRequest, key ledger.Key, ticket ledger.Ticket) call.Answer {
+	answer, known := d.askOthers(ctx, key, ticket)
 	if known {
-		r.ledger.Release(key, time.Now())
+		d.ledger.Release(key, time.Now())
 	} else {
-		answer = r.daemon.dispatch(context.WithoutCancel(ctx), a)
-		r.ledger.Finish(key, answer, time.Now())
+		answer = d.daemon.dispatch(context.WithoutCancel(ctx), a)
+		d.ledger.Finish(key, answer, time.Now())
 	}
-	r.daemon.log.WithFields(logrus.Fields{
+	d.daemon.log.WithFields(logrus.Fields{
 		"decision": "hold", "requestId": a.request.ID, "organisation": a.request.Organisation, "operation": a.request.Operation,
 		"new": !known, "outcome": answer.Outcome.String(), "reason": answer.Reason.String(),
 	}).Info("route")
@@ -215,30 +215,30 @@
 
 // askOthers asks the other daemons about a key. It returns the response if a request with the key ran or may have run,
 // and false if none can have run.
-func (r *deduplicator) askOthers(ctx context.Context, key ledger.Key, ticket ledger.Ticket) (call.Answer, bool) {
+func (d *deduplicator) askOthers(ctx context.Context, key ledger.Key, ticket ledger.Ticket) (call.Answer, bool) {
 	now := time.Now()
 	evidence := ledger.Evidence{
-		Self: r.daemon.settings.Host, Own: r.ledger.Coverage(now), Transfers: ticket.Transfers, Window: r.window,
-		MaxKeyAge: key.MaxAge(now, r.window), PossibleHolders: r.history.PossibleHolders(key, now),
+		Self: d.daemon.settings.Host, Own: d.ledger.Coverage(now), Transfers: ticket.Transfers, Window: d.window,
+		MaxKeyAge: key.MaxAge(now, d.window), PossibleHolders: d.history.PossibleHolders(key, now),
 	}
-	if evidence.MaxKeyAge > r.window {
+	if evidence.MaxKeyAge > d.window {
 		return call.UnknownOutcome(call.Repeated), true
 	}
-	if r.history.Confirmed(now) && !evidence.NeedsRecall() {
+	if d.history.Confirmed(now) && !evidence.NeedsRecall() {
 		return call.Answer{}, false
 	}
-	evidence.Replies = r.recall(ctx, recallRequest{Key: key, Asker: evidence.Self}, now)
+	evidence.Replies = d.recall(ctx, recallRequest{Key: key, Asker: evidence.Self}, now)
 	if reply, ok := evidence.Known(); ok {
 		if reply.State == ledger.Finished && reply.HasAnswer {
 			return reply.Answer, true
 		}
 		return call.UnknownOutcome(call.Repeated), true
 	}
-	switch confirmed := r.history.Confirmed(time.Now()); {
+	switch confirmed := d.history.Confirmed(time.Now()); {
 	case confirmed && evidence.ProvesNew():
 		return call.Answer{}, false
 	case evidence.ProvesNew() || evidence.OnlyRepliesMissing():
-		return r.undecided(time.Now()), true
+		return d.undecided(time.Now()), true
 	default:
 		return call.UnknownOutcome(call.Repeated), true
 	}
@@ -246,11 +246,11 @@
 
 // undecided is the response while hosts that may know of a key can't be reached. Its outcome is unknown rather than
 // not run, since an earlier attempt may have run on one of those hosts.
-func (r *deduplicator) undecided(now time.Time) call.Answer {
+func (d *deduplicator) undecided(now time.Time) call.Answer {
 	answer := call.UnknownOutcome(call.Undecided)
 	answer.RetryAfter = time.Second
-	members := r.daemon.members.Load()
-	for _, host := range r.history.Hosts() {
+	members := d.daemon.members.Load()
+	for _, host := range d.history.Hosts() {
 		answer.RetryAfter = max(answer.RetryAfter, members.RetryDelay(host, now))
 	}
 	return answer
@@ -262,26 +262,26 @@
 // recall asks every daemon that may know the key; the replies also confirm whether those daemons have the same host
 // list. Suspects count as not replying without being asked: while regions are partitioned, each request whose key must
 // be asked about would wait recallTimeout for them.
-func (r *deduplicator) recall(ctx context.Context, query recallRequest, now time.Time) map[string]ledger.RecallReply {
+func (d *deduplicator) recall(ctx context.Context, query recallRequest, now time.Time) map[string]ledger.RecallReply {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
 	var addresses map[string]netip.AddrPort
-	if known := r.addresses.Load(); known != nil {
+	if known := d.addresses.Load(); known != nil {
 		addresses = *known
 	}
-	members := r.daemon.members.Load()
+	members := d.daemon.members.Load()
 	replies := map[string]ledger.RecallReply{}
 	var mu sync.Mutex
 	var calls sync.WaitGroup
-	for _, name := range r.history.AllHosts(now) {
+	for _, name := range d.history.AllHosts(now) {
 		to, ok := addresses[name]
 		if !ok || name == query.Asker || members.Suspect(name) {
 			continue
 		}
 		calls.Go(func() {
-			reply, err := peer.Call[recallRequest, ledger.RecallReply](ctx, r.daemon.peers, to, peer.KindRecall, query)
+			reply, err := peer.Call[recallRequest, ledger.RecallReply](ctx, d.daemon.peers, to, peer.KindRecall, query)
 			if err != nil {
-				r.daemon.reportFailure(hostFailure{host: name})
+				d.daemon.reportFailure(hostFailure{host: name})
 				return
 			}
 			mu.Lock()
@@ -294,7 +294,7 @@
 	for name, reply := range replies {
 		reports[name] = reply.Lists
 	}
-	r.history.Confirm(query.Asker, reports, now)
+	d.history.Confirm(query.Asker, reports, now)
 	return replies
 }
 
@@ -304,14 +304,14 @@
 	Asker string     `msgpack:"asker"`
 }
 
-func (r *deduplicator) handleRecall(_ context.Context, _ netip.AddrPort, query recallRequest) ledger.RecallReply {
+func (d *deduplicator) handleRecall(_ context.Context, _ netip.AddrPort, query recallRequest) ledger.RecallReply {
 	now := time.Now()
 	reply := ledger.RecallReply{}
 	if query.Key != (ledger.Key{}) {
-		reply = r.ledger.Recall(query.Key, query.Asker, now)
-		reply.PossibleHolders = r.history.PossibleHolders(query.Key, now)
+		reply = d.ledger.Recall(query.Key, query.Asker, now)
+		reply.PossibleHolders = d.history.PossibleHolders(query.Key, now)
 	}
-	reply.Lists = r.history.Report()
+	reply.Lists = d.history.Report()
 	return reply
 }
 
@@ -320,10 +320,10 @@
 const confirmsPerWindow = 16
 
 // keepConfirmed confirms the host list periodically until ctx ends, so that requests need not wait for a confirmation.
-func (r *deduplicator) keepConfirmed(ctx context.Context) {
+func (d *deduplicator) keepConfirmed(ctx context.Context) {
 	for ctx.Err() == nil {
-		r.recall(ctx, recallRequest{Asker: r.daemon.settings.Host}, time.Now())
-		sleep(ctx, r.window/confirmsPerWindow)
+		d.recall(ctx, recallRequest{Asker: d.daemon.settings.Host}, time.Now())
+		sleep(ctx, d.window/confirmsPerWindow)
 	}
 }
 
@@ -339,8 +339,8 @@
 	OK bool `msgpack:"ok"`
 }
 
-func (r *deduplicator) handleTransfer(_ context.Context, _ netip.AddrPort, transfer keyTransfer) transferReply {
-	return transferReply{OK: r.ledger.Inherit(transfer.From, transfer.Records, transfer.Age, time.Now())}
+func (d *deduplicator) handleTransfer(_ context.Context, _ netip.AddrPort, transfer keyTransfer) transferReply {
+	return transferReply{OK: d.ledger.Inherit(transfer.From, transfer.Records, transfer.Age, time.Now())}
 }
 
 // transferTimeout bounds how long a leaving daemon waits for the others to store its records.
@@ -348,23 +348,23 @@
 
 // transferKeys sends the key records to every other host of the service, so that a rolling restart loses no
 // key. Afterwards this daemon holds no keys.
-func (r *deduplicator) transferKeys() {
-	r.handedOver.Store(true)
-	r.daemon.drain()
+func (d *deduplicator) transferKeys() {
+	d.handedOver.Store(true)
+	d.daemon.drain()
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	now := time.Now()
-	transfer := keyTransfer{From: r.daemon.settings.Host, Records: r.ledger.Records(now), Age: r.ledger.Coverage(now).MemoryAge}
-	view := r.daemon.view.Load()
+	transfer := keyTransfer{From: d.daemon.settings.Host, Records: d.ledger.Records(now), Age: d.ledger.Coverage(now).MemoryAge}
+	view := d.daemon.view.Load()
 	var calls sync.WaitGroup
-	for _, host := range view.HostsOf(r.daemon.settings.Service) {
+	for _, host := range view.HostsOf(d.daemon.settings.Service) {
 		if host.Host == transfer.From {
 			continue
 		}
 		calls.Go(func() {
-			reply, err := peer.Call[keyTransfer, transferReply](ctx, r.daemon.peers, host.Peer, peer.KindKeyTransfer, transfer)
+			reply, err := peer.Call[keyTransfer, transferReply](ctx, d.daemon.peers, host.Peer, peer.KindKeyTransfer, transfer)
 			if err != nil || !reply.OK {
-				r.daemon.log.WithField("to", host.Host).Warn("idempotency keys not passed on")
+				d.daemon.log.WithField("to", host.Host).Warn("idempotency keys not passed on")
 			}
 		})
 	}
--- a/internal/app/settings/settings.go
+++ b/internal/app/settings/settings.go
@@ -55,7 +55,7 @@
 	IsolationTime  time.Duration
 	LogLevel       logrus.Level
 
-	// Advertise is the address under which the hosts list names this daemon; peers connect to it. By default it is Peers.
+	// Advertise is the address under which the host list names this daemon; peers connect to it. By default it is Peers.
 	Advertise netip.AddrPort
 	Fence     time.Duration
 	Loan      time.Duration
--- a/internal/decide/admission/latency.go
+++ b/internal/decide/admission/latency.go
@@ -26,16 +26,16 @@
 	decayHalfLife = 200 * time.Millisecond
 )
 
-func (t *holdTimes) record(operation string, held time.Duration, now time.Time) {
+func (times *holdTimes) record(operation string, held time.Duration, now time.Time) {
 	seconds := held.Seconds()
-	if t.meanSeconds == 0 {
-		t.meanSeconds = seconds
+	if times.meanSeconds == 0 {
+		times.meanSeconds = seconds
 	}
-	t.meanSeconds += (seconds - t.meanSeconds) * holdTimeWeight
-	h := t.byOperation[operation]
+	times.meanSeconds += (seconds - times.meanSeconds) * holdTimeWeight
+	h := times.byOperation[operation]
 	if h == nil {
 		h = &holdTime{seconds: seconds}
-		t.byOperation[operation] = h
+		times.byOperation[operation] = h
 	}
 	if h.decayed(now) < h.seconds/2 {
 		h.seconds = seconds
@@ -54,8 +54,8 @@
 }
 
 // estimate returns the expected hold time of the operation, or 0 while none was observed.
-func (t *holdTimes) estimate(operation string, now time.Time) time.Duration {
-	h := t.byOperation[operation]
+func (times *holdTimes) estimate(operation string, now time.Time) time.Duration {
+	h := times.byOperation[operation]
 	if h == nil {
 		return 0
 	}
@@ -63,10 +63,10 @@
 }
 
 // relativeCost returns the operation's hold time relative to the mean of all operations.
-func (t *holdTimes) relativeCost(operation string) float64 {
-	h := t.byOperation[operation]
-	if h == nil || t.meanSeconds == 0 {
+func (times *holdTimes) relativeCost(operation string) float64 {
+	h := times.byOperation[operation]
+	if h == nil || times.meanSeconds == 0 {
 		return 1
 	}
-	return h.seconds / t.meanSeconds
+	return h.seconds / times.meanSeconds
 }
--- a/internal/decide/choice/choice.go
+++ b/internal/decide/choice/choice.go
@@ -116,12 +116,12 @@
 	defaultLatency = 0.05
 )
 
-// Pick returns the instance for a request with the remaining time before its deadline, or false if there is none. Instances in tried
-// have already been sent the request and are excluded.
-func (b *Balancer) Pick(instances []routing.Instance, tried map[string]bool, remaining time.Duration, now time.Time) (routing.Instance, bool) {
+// Pick returns the instance for a request with the remaining time before its deadline, or false if there is none. The excluded
+// instances, by ID, have already been sent the request.
+func (b *Balancer) Pick(instances []routing.Instance, excluded map[string]bool, remaining time.Duration, now time.Time) (routing.Instance, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	usable := b.usable(instances, tried, now)
+	usable := b.usable(instances, excluded, now)
 	if len(usable) == 0 {
 		return routing.Instance{}, false
 	}
@@ -182,11 +182,11 @@
 
 // usable returns a new list of the instances that may be sent the request: those that accept new work and aren't in backoff. If there are
 // none, it returns those in backoff, since a daemon may be wrong about them.
-func (b *Balancer) usable(instances []routing.Instance, tried map[string]bool, now time.Time) []routing.Instance {
+func (b *Balancer) usable(instances []routing.Instance, excluded map[string]bool, now time.Time) []routing.Instance {
 	ready := make([]routing.Instance, 0, len(instances))
 	var backedOff []routing.Instance
 	for i := range instances {
-		if instances[i].Draining || tried[instances[i].ID] {
+		if instances[i].Draining || excluded[instances[i].ID] {
 			continue
 		}
 		if now.Before(b.recordOf(&instances[i]).backoffUntil) {
--- a/internal/decide/lineage/runs.go
+++ b/internal/decide/lineage/runs.go
@@ -69,7 +69,7 @@
 // An instance doesn't name the parent in its sub-calls, but a sub-call usually has the deadline of its parent, and is attributed to the
 // run with the same deadline. A sub-call with a shorter timeout of its own is attributed to a run of one of the routes that make such
 // sub-calls, which is learned from those whose parent is certain. Without this, a sub-call for a payment waits behind one for a
-// lookup, and a lookup that must fail at a saturated service deep in the chain is admitted at the ingress all the same.
+// lookup, and a lookup that must fail at a saturated service deep in the chain is admitted at the ingress daemon all the same.
 type Runs struct {
 	mu     sync.Mutex
 	active []*Run
--- a/internal/decide/placing/kind.go
+++ b/internal/decide/placing/kind.go
@@ -30,7 +30,7 @@
 	UpstreamFailed // faulty
 	// Declined means that the host declined the request for overload.
 	Declined // declined
-	// NoResponse means that the host was unreachable or its response was incomplete.
+	// NoResponse means that no complete response came: the host was unreachable or the response was lost.
 	NoResponse // failed
 	// Inconclusive means that the result carries no information on the host.
 	Inconclusive // silent
--- a/internal/decide/pressure/doors.go
+++ b/internal/decide/pressure/doors.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Throttles rejects requests at the ingress that would fail for overload deeper in the call chain, before other services work on them.
+// Throttles rejects requests at the ingress daemon that would fail for overload deeper in the call chain, before other services work on them.
 //
 // Designed for a slow service deep in the chain whose callers retry often. Each request would run at every service above it and then be
 // refused at the last, so that most of the fleet's work is wasted; and the services above, busy with it, refuse requests that could
--- a/internal/decide/queue/fair.go
+++ b/internal/decide/queue/fair.go
@@ -8,9 +8,9 @@
 // order of arrival the others would wait behind it and be affected by its overload. An operation on the queue takes at most
 // logarithmic time in the number of organisations, which may be ten thousand.
 type FairQueue[T any] struct {
-	classes [call.Priorities]class[T]
-	length  int
-	pops    uint
+	subqueues [call.Priorities]subqueue[T]
+	length    int
+	pops      uint
 }
 
 // lowerPriorityInterval is the interval in items at which one of a lower priority is served: at full load of higher-priority requests,
@@ -20,8 +20,8 @@
 // NewFair returns an empty fair queue.
 func NewFair[T any]() *FairQueue[T] {
 	q := &FairQueue[T]{}
-	for p := range q.classes {
-		q.classes[p].flows = map[string]*flow[T]{}
+	for p := range q.subqueues {
+		q.subqueues[p].flows = map[string]*flow[T]{}
 	}
 	return q
 }
@@ -32,7 +32,7 @@
 // Push adds an item that is in no queue.
 func (q *FairQueue[T]) Push(i *Item[T]) {
 	i.queued = true
-	q.classes[i.Priority].push(i)
+	q.subqueues[i.Priority].push(i)
 	q.length++
 }
 
@@ -42,7 +42,7 @@
 		return
 	}
 	i.queued = false
-	q.classes[i.Priority].remove(i)
+	q.subqueues[i.Priority].remove(i)
 	q.length--
 }
 
@@ -51,7 +51,7 @@
 	if q.length == 0 {
 		return nil
 	}
-	i := q.classes[q.nextPriority()].next()
+	i := q.subqueues[q.nextPriority()].next()
 	q.Remove(i)
 	return i
 }
@@ -68,7 +68,7 @@
 // highestPriority returns the highest priority with items.
 func (q *FairQueue[T]) highestPriority() call.Priority {
 	for p := call.Nested; p > call.Background; p-- {
-		if q.classes[p].length > 0 {
+		if q.subqueues[p].length > 0 {
 			return p
 		}
 	}
@@ -77,11 +77,11 @@
 
 // lowerPriority alternates between Standard and the lowest priority with items, so that neither starves the other.
 func (q *FairQueue[T]) lowerPriority() call.Priority {
-	if q.pops/lowerPriorityInterval%2 == 0 && q.classes[call.Standard].length > 0 {
+	if q.pops/lowerPriorityInterval%2 == 0 && q.subqueues[call.Standard].length > 0 {
 		return call.Standard
 	}
 	for p := call.Background; p < call.Nested; p++ {
-		if q.classes[p].length > 0 {
+		if q.subqueues[p].length > 0 {
 			return p
 		}
 	}
@@ -90,9 +90,9 @@
 
 // Ahead estimates how many items would be served before the item if it were pushed now.
 func (q *FairQueue[T]) Ahead(i *Item[T]) int {
-	ahead := q.classes[i.Priority].ahead(i)
+	ahead := q.subqueues[i.Priority].ahead(i)
 	for p := i.Priority + 1; p <= call.Nested; p++ {
-		ahead += q.classes[p].length
+		ahead += q.subqueues[p].length
 	}
 	return ahead
 }
@@ -105,11 +105,11 @@
 // would starve it.
 func (q *FairQueue[T]) Victim(arrival *Item[T]) *Item[T] {
 	for p := call.Background; p < arrival.Priority; p++ {
-		if q.classes[p].length > 1 {
-			return q.classes[p].newestOfLongest()
+		if q.subqueues[p].length > 1 {
+			return q.subqueues[p].newestOfLongest()
 		}
 	}
-	own := &q.classes[arrival.Priority]
+	own := &q.subqueues[arrival.Priority]
 	if own.maxFlowLevel() > own.levelWith(arrival) {
 		return own.newestOfLongest()
 	}
@@ -119,8 +119,8 @@
 // Last returns the item that is likely to be served last, or nil.
 func (q *FairQueue[T]) Last() *Item[T] {
 	for p := call.Background; p <= call.Nested; p++ {
-		if q.classes[p].length > 0 {
-			return q.classes[p].newestOfLongest()
+		if q.subqueues[p].length > 0 {
+			return q.subqueues[p].newestOfLongest()
 		}
 	}
 	return nil
--- a/internal/decide/queue/fair_test.go
+++ b/internal/decide/queue/fair_test.go
@@ -143,8 +143,8 @@
 			if q.Len() != len(n.items) {
 				t.Fatalf("%d items, want %d", q.Len(), len(n.items))
 			}
-			for p := range q.classes {
-				if got, want := q.classes[p].maxFlowLevel(), n.longest(call.Priority(p)); got != want {
+			for p := range q.subqueues {
+				if got, want := q.subqueues[p].maxFlowLevel(), n.longest(call.Priority(p)); got != want {
 					t.Fatalf("longest %d, want %d", got, want)
 				}
 			}
@@ -184,6 +184,6 @@
 			q.Push(item("x", 1, call.Standard))
 			q.Pop()
 		}
-		So(len(q.classes[call.Standard].flows), ShouldBeLessThan, 10)
+		So(len(q.subqueues[call.Standard].flows), ShouldBeLessThan, 10)
 	})
 }
--- a/internal/domain/lists/change_test.go
+++ b/internal/domain/lists/change_test.go
@@ -27,7 +27,7 @@
 	return out.Bytes()
 }
 
-// hostsValue returns a hosts list of count entries.
+// hostsValue returns a host list of count entries.
 func hostsValue(count int) []byte {
 	var out bytes.Buffer
 	out.WriteString(`{"hosts":[`)
@@ -43,7 +43,7 @@
 }
 
 // BenchmarkChange measures one change of a keys list of nearly a megabyte, from its text to a new view,
-// in a set that also holds the hosts list of a fleet of the target size.
+// in a set that also holds the host list of a fleet of the target size.
 func BenchmarkChange(b *testing.B) {
 	const count = 7500
 	set := NewSet()
--- a/internal/fleet/member/pace.go
+++ b/internal/fleet/member/pace.go
@@ -6,7 +6,7 @@
 //
 // Designed for regions that are partitioned for an hour: the neighbours in the other region become suspects one by one,
 // hundreds in the end. If each were probed every probeInterval, every daemon would open hundreds of connections a second,
-// which shows as processor time without traffic. When a suspect answers again, others probably do too, and get no work
+// which shows as processor time without traffic. When a suspect replies again, others probably do too, and get no work
 // until they are probed; so the rate is higher for a while.
 type probeLimiter struct {
 	// allowed is the number of probes that may be sent at once, as in a token bucket, at the time updatedAt.
@@ -17,15 +17,15 @@
 }
 
 const (
-	// probesPerSecond is the rate while no suspect answers: up to 20 suspects are probed every probeInterval.
+	// probesPerSecond is the rate while no suspect replies: up to 20 suspects are probed every probeInterval.
 	probesPerSecond = 10
 	// fastProbesPerSecond probes a thousand suspects in ten seconds.
 	fastProbesPerSecond = 100
-	// fastProbesPerAnswer is how many probes one answer speeds up; a bounded number, so that one host that is reachable now and then doesn't keep the rate high.
-	fastProbesPerAnswer = 20
+	// fastProbesPerReply is how many probes one reply speeds up; a bounded number, so that one host that is reachable now and then doesn't keep the rate high.
+	fastProbesPerReply = 20
 )
 
-func (l *probeLimiter) speedUp() { l.fastProbes = fastProbesPerAnswer }
+func (l *probeLimiter) speedUp() { l.fastProbes = fastProbesPerReply }
 
 // take returns how many of the due probes may be sent now.
 func (l *probeLimiter) take(due int, now time.Time) int {
--- a/internal/fleet/member/table.go
+++ b/internal/fleet/member/table.go
@@ -24,7 +24,7 @@
 	suspectFailures = 2
 	// refusedTTL is how long a host that refused work as leaving gets none, unless its own news arrives before.
 	refusedTTL = 3 * time.Second
-	// leavingTTL is how long a host counts as leaving; the configuration store's list has caught up long before.
+	// leavingTTL is how long a host counts as leaving; the configuration service's host list has caught up long before.
 	leavingTTL = 10 * time.Minute
 	// maxTransmissions is how many times one item of news is sent. Each daemon that receives it
 	// sends it as many times, which reaches 3,400 hosts many times over.
@@ -48,7 +48,7 @@
 	attemptedAt      time.Time
 }
 
-// Table is what one daemon knows of the other hosts beyond the configuration store's list; it belongs to the control goroutine.
+// Table is what one daemon knows of the other hosts beyond the configuration service's host list; it belongs to the control goroutine.
 type Table struct {
 	listed map[string]lists.Host
 	byPeer map[netip.AddrPort]string
@@ -65,7 +65,7 @@
 	return &Table{listed: map[string]lists.Host{}, states: map[string]*hostState{}, failing: map[string]bool{}}
 }
 
-// SetHosts replaces the configuration store's list and forgets hosts that are no longer on it.
+// SetHosts replaces the configuration service's host list and forgets hosts that are no longer on it.
 func (t *Table) SetHosts(hosts []lists.Host) {
 	t.listed = make(map[string]lists.Host, len(hosts))
 	t.byPeer = make(map[netip.AddrPort]string, len(hosts))
--- a/internal/fleet/member/table_test.go
+++ b/internal/fleet/member/table_test.go
@@ -76,7 +76,7 @@
 }
 
 func TestSuspects(t *testing.T) {
-	// A rack's switch fails. The configuration store lists its hosts for a while longer,
+	// A rack's switch fails. The configuration service lists its hosts for a while longer,
 	// and requests sent to them wait for connections that never open.
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Hosts that can't be reached get no work while another host remains, and are probed", t, func() {
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -15,8 +15,8 @@
 
 // Usable returns the hosts that may get new work.
 //
-// Designed for a rack or switch that fails: its hosts stay on the configuration store's
-// list for a while, and each request sent to one would cost the caller a connect timeout.
+// Designed for a rack or switch that fails: its hosts stay on the configuration service's
+// host list for a while, and each request sent to one would cost the caller a connect timeout.
 // A host that reports that it is leaving never gets work. Suspects are left out only while
 // another host remains, so that a fault of this daemon's own network can't leave a service
 // without hosts.
--- a/internal/fleet/rate/asking.go
+++ b/internal/fleet/rate/asking.go
@@ -25,8 +25,8 @@
 	roundsPerTenure = 4
 )
 
-// A member that did not answer is asked again after silentAskInterval, or after recoveryAskInterval
-// shortly after a change, such as an answer from another silent member.
+// A member that did not reply is asked again after silentAskInterval, or after recoveryAskInterval
+// shortly after a change, such as a reply from another silent member.
 //
 // Designed for the end of a partition between regions. In the steady round alone, a home that lost its
 // right to lend meanwhile would wait for a quarter of a tenure after the partition, and organisations would be
--- a/internal/fleet/rate/holding.go
+++ b/internal/fleet/rate/holding.go
@@ -135,8 +135,8 @@
 		return 1
 	})
 	out := make([]Member, len(members))
-	for i, a := range members {
-		out[i] = a.member
+	for i, r := range members {
+		out[i] = r.member
 	}
 	return out
 }
--- a/internal/fleet/rate/limits.go
+++ b/internal/fleet/rate/limits.go
@@ -22,7 +22,7 @@
 	// DefaultFence and DefaultLoan suit links with latencies of milliseconds and partitions of an hour.
 	DefaultFence = 95 * time.Minute
 	DefaultLoan  = time.Second
-	// DefaultShards is the same for all plans, so that a change of plan moves no shard to another home.
+	// DefaultShards is the same for all plans, so that an organisation's change of plan moves no shard to another home.
 	DefaultShards = 16
 	maxShards     = 64
 )
--- a/internal/fleet/rate/membership.go
+++ b/internal/fleet/rate/membership.go
@@ -181,7 +181,7 @@
 
 // Answer records the asking member's statement and returns this process's own.
 //
-// The asker's incarnation must be recorded before the answer is sent. The answer may
+// The asking member's incarnation must be recorded before the reply is sent. The reply may
 // help a restarted process to begin, so from then on this host must no longer rely on
 // the statement of that member's earlier process that it gave up its shards.
 func (m *Membership) Answer(ask Statement, now time.Time) Statement {
--- a/internal/fleet/rate/review.go
+++ b/internal/fleet/rate/review.go
@@ -51,7 +51,7 @@
 }
 
 // reviewsPerTenure is how often in a tenure the confirmations are sorted to find its end. Sorting those of thousands of
-// members at each answer would take most of a home's time. Instead the right to lend ends earlier, by up to this fraction of a tenure.
+// members at each reply would take most of a home's time. Instead the right to lend ends earlier, by up to this fraction of a tenure.
 const reviewsPerTenure = 100
 
 // reviewTenure determines how long the quorum's newest confirmations last.
--- a/internal/fleet/rate/seat.go
+++ b/internal/fleet/rate/seat.go
@@ -19,7 +19,7 @@
 	askedAt       time.Time
 }
 
-// unanswered reports whether the last request has had no answer so far.
+// unanswered reports whether the last request has had no reply so far.
 func (s *memberState) unanswered() bool { return s.answeredAskAt.Before(s.askedAt) }
 
 func (s *memberState) apply(summary statementSummary) {
--- a/internal/fleet/rate/statement.go
+++ b/internal/fleet/rate/statement.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Statement is what a daemon reports about itself and the host list, both when it asks another member and when it answers.
+// Statement is what a daemon reports about itself and the host list, both when it asks another member and when it replies.
 // Vouching is false while the sender can't confirm lists, since it has restarted and has not yet received statements from enough members.
 // Ceased means that it has given up its shards for good.
 type Statement struct {
--- a/internal/fleet/spread/core.go
+++ b/internal/fleet/spread/core.go
@@ -358,7 +358,7 @@
 
 // PlatformAnswered records that the platform answered a call started at the given time.
 //
-// Only an answer with all lists confirms a daemon's versions; the answer to a
+// Only a response with all lists confirms a daemon's versions; the response to a
 // single watch only shows that the platform is reachable.
 func (c *Core) PlatformAnswered(started, now time.Time, all bool) {
 	c.reading.recordAnswer(now)
--- a/internal/fleet/spread/reading.go
+++ b/internal/fleet/spread/reading.go
@@ -31,11 +31,11 @@
 	// peersHeadStart is how long a daemon that knows its peers waits for the other lists from them before it reads all
 	// itself. It is longer than confirmGrace, so that what the readers read has had time to spread.
 	peersHeadStart = 3 * time.Second
-	// silenceSlack is added to two watches to get the normal maximum age of the platform's last known answer: a
-	// reader's last answer is at most one watch old, and its report takes time to arrive.
+	// silenceSlack is added to two watches to get the normal maximum age of the platform's last known response: a
+	// reader's last response is at most one watch old, and its report takes time to arrive.
 	silenceSlack = 5 * time.Second
 	// readSpacing is the mean time between two reads in a fleet that no longer gets any
-	// report of the platform's answers: at 20 ms and four lists that is 200 calls a second.
+	// report of the platform's responses: at 20 ms and four lists that is 200 calls a second.
 	readSpacing = 20 * time.Millisecond
 )
 
@@ -70,72 +70,72 @@
 }
 
 // recordAnswer records that the platform answered this or another daemon at the given time.
-func (p *readSchedule) recordAnswer(at time.Time) {
-	if !p.answered || at.After(p.answeredAt) {
-		p.answered, p.answeredAt = true, at
+func (s *readSchedule) recordAnswer(at time.Time) {
+	if !s.answered || at.After(s.answeredAt) {
+		s.answered, s.answeredAt = true, at
 	}
 }
 
-// age returns the time since the platform's last known answer, or a negative time if none is known.
-func (p *readSchedule) age(now time.Time) time.Duration {
-	if !p.answered {
+// age returns the time since the platform's last known response, or a negative time if none is known.
+func (s *readSchedule) age(now time.Time) time.Duration {
+	if !s.answered {
 		return -1
 	}
-	return max(now.Sub(p.answeredAt), 0)
+	return max(now.Sub(s.answeredAt), 0)
 }
 
 // due returns what to read now and schedules the next read.
-func (p *readSchedule) due(c *Core, now time.Time, skip func(host string) bool) Read {
+func (s *readSchedule) due(c *Core, now time.Time, skip func(host string) bool) Read {
 	if c.standing == Serving {
-		return p.dueServing(c, now)
+		return s.dueServing(c, now)
 	}
 	if c.versions[lists.KindHosts] > 0 {
-		return p.dueWithHosts(c, now, skip)
+		return s.dueWithHosts(c, now, skip)
 	}
-	if now.Before(p.nextRead) {
+	if now.Before(s.nextRead) {
 		return ReadNothing
 	}
-	p.nextRead = now.Add(c.wideJitter(p.backoff))
-	p.backoff = min(2*p.backoff, maxBackoff)
+	s.nextRead = now.Add(c.wideJitter(s.backoff))
+	s.backoff = min(2*s.backoff, maxBackoff)
 	return ReadHosts
 }
 
-// dueServing returns ReadAll when the platform's last known answer is older than the readers' watches explain.
-func (p *readSchedule) dueServing(c *Core, now time.Time) Read {
-	p.backoff, p.nextFullRead = minBackoff, time.Time{}
+// dueServing returns ReadAll when the platform's last known response is older than the readers' watches explain.
+func (s *readSchedule) dueServing(c *Core, now time.Time) Read {
+	s.backoff, s.nextFullRead = minBackoff, time.Time{}
 	silence := 2*c.config.Watch + silenceSlack
-	if p.answered && now.Sub(p.answeredAt) < silence {
-		p.nextRead = time.Time{}
+	if s.answered && now.Sub(s.answeredAt) < silence {
+		s.nextRead = time.Time{}
 		return ReadNothing
 	}
-	if p.nextRead.IsZero() {
-		p.nextRead = now.Add(c.fleetDelay())
+	if s.nextRead.IsZero() {
+		s.nextRead = now.Add(c.fleetDelay())
 	}
-	if now.Before(p.nextRead) {
+	if now.Before(s.nextRead) {
 		return ReadNothing
 	}
-	p.nextRead = now.Add(silenceSlack + c.fleetDelay())
+	s.nextRead = now.Add(silenceSlack + c.fleetDelay())
 	return ReadAll
 }
 
 // dueWithHosts returns what a daemon that isn't serving and has a host list reads now. It also reads
 // the host list alone from time to time, since its peers may have moved to other addresses.
-func (p *readSchedule) dueWithHosts(c *Core, now time.Time, skip func(host string) bool) Read {
-	if p.nextFullRead.IsZero() {
-		p.nextFullRead, p.nextRead = now, now.Add(c.wideJitter(maxBackoff))
+func (s *readSchedule) dueWithHosts(c *Core, now time.Time, skip func(host string) bool) Read {
+	if s.nextFullRead.IsZero() {
+		s.nextFullRead, s.nextRead = now, now.Add(c.wideJitter(maxBackoff))
 		if len(c.activePeers) > 0 && !c.Reads(skip) {
-			p.nextFullRead = now.Add(peersHeadStart + c.fleetDelay())
+			s.nextFullRead = now.Add(peersHeadStart + c.fleetDelay())
 		}
 	}
-	if !now.Before(p.nextFullRead) {
-		p.nextFullRead = now.Add(c.wideJitter(p.backoff) + c.fleetDelay())
-		p.backoff = min(2*p.backoff, maxBackoff)
+	if !now.Before(s.nextFullRead) {
+		s.nextFullRead = now.Add(c.wideJitter(s.backoff) + c.fleetDelay())
+		s.backoff = min(2*s.backoff, maxBackoff)
 		return ReadAll
 	}
-	if now.Before(p.nextRead) {
+	if now.Before(s.nextRead) {
 		return ReadNothing
 	}
-	p.nextRead = now.Add(c.wideJitter(maxBackoff))
+	s.nextRead = now.Add(c.wideJitter(maxBackoff))
 	return ReadHosts
 }
 
--- a/internal/fleet/spread/standing.go
+++ b/internal/fleet/spread/standing.go
@@ -39,7 +39,7 @@
 	return s == Serving && now.Sub(lastTick) < pauseThreshold
 }
 
-// replies are the answers that a daemon received since it began to confirm its lists.
+// replies are what a daemon received from peers and from the platform since it began to confirm its lists.
 type replies struct {
 	since time.Time
 	// platform means that the platform answered with all lists.
--- a/internal/load/chain/policy.go
+++ b/internal/load/chain/policy.go
@@ -18,7 +18,7 @@
 	Limit   limit.Kind
 	Queue   queue.Kind
 	Placing placing.Kind
-	// Throttles enables throttles, which reject at the ingress what would fail at a later hop.
+	// Throttles enables throttles, which reject at the ingress daemon what would fail at a later hop.
 	Throttles bool
 	// Budget is the maximum number of runs of one request; 0 allows three attempts at each hop.
 	Budget int
--- a/internal/load/changes/demand.go
+++ b/internal/load/changes/demand.go
@@ -103,29 +103,29 @@
 const noChange = -1
 
 // prepare publishes the lists and waits for the fleet.
-func (p *Demand) prepare(ctx context.Context) error {
-	p.OneService = true
+func (d *Demand) prepare(ctx context.Context) error {
+	d.OneService = true
 	plans := lists.Plans{Organisations: rates.Organisations()}
-	p.Organisations = len(plans.Organisations)
+	d.Organisations = len(plans.Organisations)
 	for i := range plans.Organisations {
 		plans.Organisations[i].Plan = "plan"
 	}
 	useList := uses()
 	useList.Operations[0].Method = http.MethodPost
-	keys := p.keys(noChange)
+	keys := d.keys(noChange)
 	for i := range keys.Keys {
 		keys.Keys[i].Organisation = plans.Organisations[i].Organisation
 	}
 	values := []struct {
 		kind  lists.Kind
 		value any
-	}{{lists.KindHosts, p.hosts()}, {lists.KindKeys, keys}, {lists.KindUses, useList}, {lists.KindPlans, plans}}
+	}{{lists.KindHosts, d.hosts()}, {lists.KindKeys, keys}, {lists.KindUses, useList}, {lists.KindPlans, plans}}
 	for _, v := range values {
-		if _, err := p.publish(ctx, v.kind, v.value); err != nil {
+		if _, err := d.publish(ctx, v.kind, v.value); err != nil {
 			return err
 		}
 	}
-	return traffic.AwaitReady(ctx, p.operators())
+	return traffic.AwaitReady(ctx, d.operators())
 }
 
 func (d *demand) setCounting(on bool) {
--- a/internal/load/mesh/caller.go
+++ b/internal/load/mesh/caller.go
@@ -45,11 +45,11 @@
 func (f *fleet) sendToDaemon(r *Route, start time.Time, counts []*Counts, done func(answer)) {
 	h := f.hosts[f.random.IntN(len(f.hosts))]
 	f.clock.After(clientDelay, func() {
-		q := &request{
+		req := &request{
 			route: r, root: r, organisation: fmt.Sprint(f.random.IntN(organisations)), deadline: earlier(f.now().Add(r.Timeout), start.Add(r.Patience)), counts: counts,
 			done: func(a answer) { f.clock.After(clientDelay, func() { done(a) }) },
 		}
-		h.serve(q)
+		h.serve(req)
 	})
 }
 
--- a/internal/load/mesh/request.go
+++ b/internal/load/mesh/request.go
@@ -55,77 +55,77 @@
 }
 
 // cancel cancels the request and its current attempt, since the sender no longer waits for it.
-func (q *request) cancel() {
-	if q.finished {
+func (req *request) cancel() {
+	if req.finished {
 		return
 	}
-	q.finished = true
-	if q.cancelAttempt != nil {
-		q.cancelAttempt()
+	req.finished = true
+	if req.cancelAttempt != nil {
+		req.cancelAttempt()
 	}
 }
 
-func (q *request) finish(a answer) {
-	if q.finished {
+func (req *request) finish(a answer) {
+	if req.finished {
 		return
 	}
-	q.finished = true
-	q.done(a)
+	req.finished = true
+	req.done(a)
 }
 
-func (q *request) class() shed.Class {
-	return shed.Class{Route: q.root.Name, Service: q.root.Service, Rank: q.root.Rank}
+func (req *request) class() shed.Class {
+	return shed.Class{Route: req.root.Name, Service: req.root.Service, Rank: req.root.Rank}
 }
 
 // serve admits or rejects a caller's request; sub-calls are always admitted. It then earns retry budget, or charges the
 // budget for a sub-call of a retry, and sends the first attempt.
-func (h *host) serve(q *request) {
+func (h *host) serve(req *request) {
 	now := h.fleet.now()
-	if !q.subcall {
-		if decision := h.shedder.Admit(q.class(), q.route.Target, now); !decision.Admitted {
-			q.finish(answer{outcome: notRun, retryAfter: decision.RetryAfter})
+	if !req.subcall {
+		if decision := h.shedder.Admit(req.class(), req.route.Target, now); !decision.Admitted {
+			req.finish(answer{outcome: notRun, retryAfter: decision.RetryAfter})
 			return
 		}
 	}
-	if q.retry {
-		h.retryBudget.Charge(q.route.Service, now)
+	if req.retry {
+		h.retryBudget.Charge(req.route.Service, now)
 	} else {
-		h.retryBudget.Earn(q.route.Service, now)
-		h.fleet.result.sentAt(q.route.Service, now.Sub(h.fleet.start)).Requests++
+		h.retryBudget.Earn(req.route.Service, now)
+		h.fleet.result.sentAt(req.route.Service, now.Sub(h.fleet.start)).Requests++
 	}
-	q.tracker = offers.New(q.route.Attempts, offers.Without(h.fleet.scenario.Without))
-	q.last = answer{outcome: notRun, retryAfter: declinedRetryAfter}
-	h.sendNext(q)
+	req.tracker = offers.New(req.route.Attempts, offers.Without(h.fleet.scenario.Without))
+	req.last = answer{outcome: notRun, retryAfter: declinedRetryAfter}
+	h.sendNext(req)
 }
 
 // declinedRetryAfter is the Retry-After delay where an instance declined the request or none could be reached.
 const declinedRetryAfter = 250 * time.Millisecond
 
 // sendNext sends the next attempt, or finishes the request if no further attempt is allowed.
-func (h *host) sendNext(q *request) {
+func (h *host) sendNext(req *request) {
 	now := h.fleet.now()
-	if q.finished {
+	if req.finished {
 		return
 	}
-	if !q.tracker.CanRetry() || !now.Before(q.deadline) || q.tracker.Delivered() && !h.retryBudget.Spend(q.route.Service, priority(q.root), now) {
-		q.finish(q.last)
+	if !req.tracker.CanRetry() || !now.Before(req.deadline) || req.tracker.Delivered() && !h.retryBudget.Spend(req.route.Service, priority(req.root), now) {
+		req.finish(req.last)
 		return
 	}
-	candidates, lastResort := q.tracker.Candidates(h.fleet.instances[q.route.Service])
-	instance, ok := h.balancer.Pick(candidates, lastResort, q.deadline.Sub(now), now)
+	candidates, excluded := req.tracker.Candidates(h.fleet.instances[req.route.Service])
+	instance, ok := h.balancer.Pick(candidates, excluded, req.deadline.Sub(now), now)
 	if !ok {
-		q.finish(q.last)
+		req.finish(req.last)
 		return
 	}
-	h.sendTo(q, instance)
+	h.sendTo(req, instance)
 }
 
 // sendTo sends the request to the host of the instance.
-func (h *host) sendTo(q *request, instance routing.Instance) {
+func (h *host) sendTo(req *request, instance routing.Instance) {
 	sent := h.fleet.now()
-	retry := q.retry || q.tracker.Delivered()
+	retry := req.retry || req.tracker.Delivered()
 	destination := h.fleet.byID[instance.ID]
-	attempt := &execution{host: destination, request: q, retry: retry}
+	attempt := &execution{host: destination, request: req, retry: retry}
 	recorded := false
 	record := func(a answer) {
 		if recorded {
@@ -137,17 +137,17 @@
 		}
 		h.balancer.Record(instance, a.result, h.fleet.now().Sub(sent), a.load, h.fleet.now())
 	}
-	q.cancelAttempt = func() {
+	req.cancelAttempt = func() {
 		record(answer{result: choice.Withdrawn})
 		attempt.cancel()
 	}
 	attempt.done = func(a answer) {
 		h.fleet.clock.After(hostDelay, func() {
 			record(a)
-			h.handleResult(q, instance.ID, a)
+			h.handleResult(req, instance.ID, a)
 		})
 	}
-	for _, c := range q.counts {
+	for _, c := range req.counts {
 		if instance.Zone != h.instance.Zone {
 			c.CrossZone++
 		}
@@ -160,17 +160,17 @@
 // After a request that ran and failed, there is another attempt only if the route allows it and the instance itself failed or
 // its response was lost. A failed sub-call has already been retried by the instance's host; only if that mechanism is disabled,
 // the whole request is retried.
-func (h *host) handleResult(q *request, id string, a answer) {
-	if q.finished {
+func (h *host) handleResult(req *request, id string, a answer) {
+	if req.finished {
 		return
 	}
-	q.tracker.Record(id, a.result, a.delivered)
-	if q.last.outcome == notRun || a.outcome != notRun {
-		q.last = a
+	req.tracker.Record(id, a.result, a.delivered)
+	if req.last.outcome == notRun || a.outcome != notRun {
+		req.last = a
 	}
-	if a.outcome == succeeded || a.outcome == failed && (q.route.AtMostOnce || a.subcallFailed && !h.fleet.without(mechanism.CallFailures) || !a.responseLost && a.result != choice.Failed) {
-		q.finish(q.last)
+	if a.outcome == succeeded || a.outcome == failed && (req.route.AtMostOnce || a.subcallFailed && !h.fleet.without(mechanism.CallFailures) || !a.responseLost && a.result != choice.Failed) {
+		req.finish(req.last)
 		return
 	}
-	h.sendNext(q)
+	h.sendNext(req)
 }
--- a/internal/load/mesh/visit.go
+++ b/internal/load/mesh/visit.go
@@ -47,8 +47,8 @@
 }
 
 func (e *execution) arrive() {
-	f, q := e.host.fleet, e.request
-	if e.ended || q.finished {
+	f, req := e.host.fleet, e.request
+	if e.ended || req.finished {
 		return
 	}
 	now := f.now()
@@ -56,17 +56,17 @@
 		e.end(answer{outcome: notRun, result: choice.Unreachable, retryAfter: declinedRetryAfter})
 		return
 	}
-	e.deadline = q.deadline.Add(-responseReserve)
+	e.deadline = req.deadline.Add(-responseReserve)
 	e.ticket = admission.Ticket{
-		Operation: q.route.Name, Weight: 1, Priority: priority(q.root), Organisation: q.organisation, Deadline: e.deadline, Waiter: e,
+		Operation: req.route.Name, Weight: 1, Priority: priority(req.root), Organisation: req.organisation, Deadline: e.deadline, Waiter: e,
 	}
-	if q.subcall {
+	if req.subcall {
 		e.ticket.Priority++
 		if f.without(mechanism.RankedSubcalls) {
 			e.ticket.Priority = call.Nested
 		}
 		e.ticket.Organisation, e.ticket.Weight = "", subcallWeight
-		e.ticket.Patience = time.Duration(float64(q.deadline.Sub(now)) * subcallWaitFraction)
+		e.ticket.Patience = time.Duration(float64(req.deadline.Sub(now)) * subcallWaitFraction)
 	}
 	e.host.sampleSaturation()
 	d := e.host.gate.Arrive(now, &e.ticket)
@@ -170,10 +170,10 @@
 func (e *execution) sendSubcall(route string, then func()) {
 	f := e.host.fleet
 	r := f.routesByName[route]
-	q := &request{route: r, subcall: true, counts: e.request.counts, deadline: earlier(e.deadline, f.now().Add(r.Timeout))}
-	parent := e.host.runs.Parent(route, q.deadline)
-	q.root, q.retry = f.routesByName[parent.Root], parent.Retry
-	q.done = func(a answer) {
+	req := &request{route: r, subcall: true, counts: e.request.counts, deadline: earlier(e.deadline, f.now().Add(r.Timeout))}
+	parent := e.host.runs.Parent(route, req.deadline)
+	req.root, req.retry = f.routesByName[parent.Root], parent.Retry
+	req.done = func(a answer) {
 		if a.outcome == succeeded {
 			then()
 			return
@@ -181,8 +181,8 @@
 		e.host.runs.CallFailed(parent, route, f.now())
 		e.end(answer{outcome: failed, result: choice.Failed, delivered: true})
 	}
-	e.subcalls = append(e.subcalls, q)
-	e.host.serve(q)
+	e.subcalls = append(e.subcalls, req)
+	e.host.serve(req)
 }
 
 func (e *execution) end(a answer) {
@@ -219,8 +219,8 @@
 // release cancels the running sub-calls and returns the slot, or leaves the queue.
 func (e *execution) release(result choice.Result) {
 	now := e.host.fleet.now()
-	for _, q := range e.subcalls {
-		q.cancel()
+	for _, req := range e.subcalls {
+		req.cancel()
 	}
 	if !e.admitted {
 		e.host.gate.Leave(now, &e.ticket)
--- a/internal/wire/peer/bound.go
+++ b/internal/wire/peer/bound.go
@@ -21,23 +21,23 @@
 // timestamp is a time in nanoseconds that several goroutines may read and set; 0 means unset.
 type timestamp struct{ unixNano atomic.Int64 }
 
-func (s *timestamp) setNow() { s.unixNano.Store(time.Now().UnixNano()) }
+func (t *timestamp) setNow() { t.unixNano.Store(time.Now().UnixNano()) }
 
 // setNowIfZero sets the current time unless a time is set already.
-func (s *timestamp) setNowIfZero() {
-	if s.unixNano.Load() == 0 {
-		s.setNow()
+func (t *timestamp) setNowIfZero() {
+	if t.unixNano.Load() == 0 {
+		t.setNow()
 	}
 }
 
-func (s *timestamp) clear() {
-	if s.unixNano.Load() != 0 {
-		s.unixNano.Store(0)
+func (t *timestamp) clear() {
+	if t.unixNano.Load() != 0 {
+		t.unixNano.Store(0)
 	}
 }
 
-func (s *timestamp) elapsed(now time.Time) time.Duration {
-	return time.Duration(now.UnixNano() - s.unixNano.Load())
+func (t *timestamp) elapsed(now time.Time) time.Duration {
+	return time.Duration(now.UnixNano() - t.unixNano.Load())
 }
 
 // closeIdleLinks periodically closes idle links until the node stops.
