--- a/internal/decide/comeback/doc.go
+++ b/internal/decide/comeback/doc.go
@@ -1,2 +1,3 @@
-// Package comeback spreads the Retry-After delays of refused requests.
+// Package comeback spreads the Retry-After delays of refused requests, so that their callers don't all retry at the
+// same time.
 package comeback
--- a/internal/fleet/member/doc.go
+++ b/internal/fleet/member/doc.go
@@ -1,4 +1,4 @@
-// Package member combines the configuration store's host list, which lags behind, with
+// Package member combines the configuration service's host list, which lags behind, with
 // what the daemons observe themselves: which hosts report that they are leaving, and
 // which can't be reached.
 //
