--- a/internal/app/daemon/dispatch.go
+++ b/internal/app/daemon/dispatch.go
@@ -146,18 +146,18 @@
 const minFaultStatus = 500
 
 // placingResult classifies a response by what it shows about the host that sent it.
-func placingResult(a call.Answer) placing.Ending {
+func placingResult(a call.Answer) placing.Result {
 	switch {
 	case a.Outcome == call.Whole && a.Status < minFaultStatus:
 		return placing.Served
 	case a.Outcome == call.Whole && a.Load.Pressure > 0:
 		return placing.Inconclusive
 	case a.Outcome == call.Whole:
-		return placing.Faulty
+		return placing.UpstreamFailed
 	case a.Reason.Overload():
 		return placing.Declined
 	case a.Reason == call.NoUpstream, a.Reason == call.Draining, a.Reason == call.AnswerLost:
-		return placing.Failed
+		return placing.NoResponse
 	default:
 		return placing.Inconclusive
 	}
--- a/internal/decide/admission/latency.go
+++ b/internal/decide/admission/latency.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// holdTime is the smoothed hold time of one operation.
+// holdTimes holds the smoothed hold time of each operation and the smoothed mean over all requests.
 type holdTimes struct {
 	byOperation map[string]*holdTime
 	meanSeconds float64
 }
 
+// holdTime is the smoothed hold time of one operation.
 type holdTime struct {
 	seconds    float64
 	observedAt time.Time
@@ -19,21 +20,22 @@
 const (
 	// holdTimeWeight is the weight of one run in the smoothed hold time.
 	holdTimeWeight = 0.1
-	// decayDelay and decayHalfLife bound how long an unconfirmed estimate counts, so that a request is admitted well within 2 s.
+	// decayDelay and decayHalfLife set how fast an estimate decays without new runs: an operation that is refused because of its estimate
+	// has none, and must be admitted again well within 2 s.
 	decayDelay    = 100 * time.Millisecond
 	decayHalfLife = 200 * time.Millisecond
 )
 
-func (t *holdTimes) record(operation string, held time.Duration, now time.Time) {
+func (times *holdTimes) record(operation string, held time.Duration, now time.Time) {
 	seconds := held.Seconds()
-	if t.meanSeconds == 0 {
-		t.meanSeconds = seconds
+	if times.meanSeconds == 0 {
+		times.meanSeconds = seconds
 	}
-	t.meanSeconds += (seconds - t.meanSeconds) * holdTimeWeight
-	h := t.byOperation[operation]
+	times.meanSeconds += (seconds - times.meanSeconds) * holdTimeWeight
+	h := times.byOperation[operation]
 	if h == nil {
 		h = &holdTime{seconds: seconds}
-		t.byOperation[operation] = h
+		times.byOperation[operation] = h
 	}
 	if h.decayed(now) < h.seconds/2 {
 		h.seconds = seconds
@@ -52,8 +54,8 @@
 }
 
 // estimate returns the expected hold time of the operation, or 0 while none was observed.
-func (t *holdTimes) estimate(operation string, now time.Time) time.Duration {
-	h := t.byOperation[operation]
+func (times *holdTimes) estimate(operation string, now time.Time) time.Duration {
+	h := times.byOperation[operation]
 	if h == nil {
 		return 0
 	}
@@ -61,10 +63,10 @@
 }
 
 // relativeCost returns the operation's hold time relative to the mean of all operations.
-func (t *holdTimes) relativeCost(operation string) float64 {
-	h := t.byOperation[operation]
-	if h == nil || t.meanSeconds == 0 {
+func (times *holdTimes) relativeCost(operation string) float64 {
+	h := times.byOperation[operation]
+	if h == nil || times.meanSeconds == 0 {
 		return 1
 	}
-	return h.seconds / t.meanSeconds
+	return h.seconds / times.meanSeconds
 }
--- a/internal/decide/queue/fair_test.go
+++ b/internal/decide/queue/fair_test.go
@@ -143,8 +143,8 @@
 			if q.Len() != len(n.items) {
 				t.Fatalf("%d items, want %d", q.Len(), len(n.items))
 			}
-			for p := range q.classes {
-				if got, want := q.classes[p].maxFlowLevel(), n.longest(call.Priority(p)); got != want {
+			for p := range q.subqueues {
+				if got, want := q.subqueues[p].maxFlowLevel(), n.longest(call.Priority(p)); got != want {
 					t.Fatalf("longest %d, want %d", got, want)
 				}
 			}
@@ -152,8 +152,8 @@
 	})
 }
 
-// Guards against an unfair share for an organisation that always has just one request waiting, beside one with a long queue: if its
-// virtual time started anew with each request, it would be served every other time, and those with longer queues would get less than
+// Guards against an unfair share for an organisation that always has just one request waiting, next to one with a long queue: if its
+// virtual time were reset with each request, it would be served every other time, and those with longer queues would get less than
 // their share.
 func TestSingleRequestsGetNoMoreThanTheirShare(t *testing.T) {
 	Convey("A flow that runs out of items keeps its virtual time", t, func() {
@@ -184,6 +184,6 @@
 			q.Push(item("x", 1, call.Standard))
 			q.Pop()
 		}
-		So(len(q.classes[call.Standard].flows), ShouldBeLessThan, 10)
+		So(len(q.subqueues[call.Standard].flows), ShouldBeLessThan, 10)
 	})
 }
--- a/internal/decide/quota/pool.go
+++ b/internal/decide/quota/pool.go
@@ -13,7 +13,7 @@
 // daemons would often lie unused at the wrong ones, and a whole token for each daemon would exceed the rate in a fleet of hundreds.
 // An admitted fraction that is the same on all daemons avoids both: the total admitted is that fraction of the demand, wherever it arrives.
 type Pool struct {
-	rates   map[string]Rate
+	rates   map[string]RateLimit
 	buckets map[string]*bucket
 	reports map[reporter]*report
 	// totals are the sums of the daemons' counts since the pool started, for the fleet's collector.
@@ -28,8 +28,9 @@
 
 // bucket is an organisation's token bucket over all daemons.
 type bucket struct {
-	// level is negative while more requests were admitted than the collector knew of.
-	level   float64
+	// level is the number of tokens, negative after daemons have admitted more requests than the rate allows.
+	level float64
+	// demand is the smoothed rate of requests at all daemons, per second.
 	demand  float64
 	updated time.Time
 }
@@ -49,8 +50,8 @@
 // report is the latest report of one reporter.
 type report struct {
 	counts map[string]Count
-	// fromStart means that the reporter has sent reports since it began to count, so that counts of an organisation named for the first
-	// time start at zero.
+	// fromStart means that the reporter has sent reports since it began to count, so that all requests in its first count of an
+	// organisation are new.
 	fromStart bool
 	received  time.Time
 }
@@ -78,7 +79,7 @@
 	reporterTTL = time.Second
 	// newUptime is the uptime up to which all of a daemon's first counts are recent.
 	newUptime = 2 * time.Second
-	// sweepInterval is the interval at which silent reporters and idle organisations are removed.
+	// sweepInterval is the interval at which expired reports and idle organisations are removed.
 	sweepInterval = time.Second
 	// negligibleDemand is a demand in requests per second that isn't worth keeping.
 	negligibleDemand = 0.01
@@ -86,11 +87,11 @@
 
 // NewPool returns a pool without tokens, since those spent before it started are unknown.
 func NewPool() *Pool {
-	return &Pool{rates: map[string]Rate{}, buckets: map[string]*bucket{}, reports: map[reporter]*report{}, totals: map[string]timedCount{}, coverage: 1}
+	return &Pool{rates: map[string]RateLimit{}, buckets: map[string]*bucket{}, reports: map[reporter]*report{}, totals: map[string]timedCount{}, coverage: 1}
 }
 
 // Configure sets the rate limits.
-func (p *Pool) Configure(rates map[string]Rate) { p.rates = rates }
+func (p *Pool) Configure(rates map[string]RateLimit) { p.rates = rates }
 
 // SetCoverage sets how many of all daemons have reported to this collector recently.
 //
--- a/internal/decide/shed/shed_test.go
+++ b/internal/decide/shed/shed_test.go
@@ -13,7 +13,7 @@
 	name      string
 	rank      Rank
 	perSecond float64
-	// slotSeconds is the slot time of that service that one request takes, without pauses.
+	// slotSeconds is how long one request occupies a slot of that service in total.
 	slotSeconds float64
 }
 
@@ -140,7 +140,7 @@
 			s.Admit(class, 0, now)
 		}
 		now := now.Add(300 * time.Millisecond)
-		So(s.Demand(now), ShouldResemble, []Rate{{Class: class, PerSecond: 60}})
+		So(s.Demand(now), ShouldResemble, []ArrivalRate{{Class: class, PerSecond: 60}})
 		for range 10 {
 			now = now.Add(300 * time.Millisecond)
 			s.Demand(now)
--- a/internal/load/chain/host.go
+++ b/internal/load/chain/host.go
@@ -184,7 +184,7 @@
 	a.done(a.last)
 }
 
-func (a answer) placingResult() placing.Ending {
+func (a answer) placingResult() placing.Result {
 	switch {
 	case a.ok:
 		return placing.Served
@@ -193,7 +193,7 @@
 	case a.pressure > 0:
 		return placing.Inconclusive
 	default:
-		return placing.Failed
+		return placing.NoResponse
 	}
 }
 
--- a/internal/wire/peer/bound.go
+++ b/internal/wire/peer/bound.go
@@ -21,30 +21,30 @@
 // timestamp is a time in nanoseconds that several goroutines may read and set; 0 means unset.
 type timestamp struct{ unixNano atomic.Int64 }
 
-func (s *timestamp) setNow() { s.unixNano.Store(time.Now().UnixNano()) }
+func (t *timestamp) setNow() { t.unixNano.Store(time.Now().UnixNano()) }
 
 // setNowIfZero sets the current time unless a time is set already.
-func (s *timestamp) setNowIfZero() {
-	if s.unixNano.Load() == 0 {
-		s.setNow()
+func (t *timestamp) setNowIfZero() {
+	if t.unixNano.Load() == 0 {
+		t.setNow()
 	}
 }
 
-func (s *timestamp) clear() {
-	if s.unixNano.Load() != 0 {
-		s.unixNano.Store(0)
+func (t *timestamp) clear() {
+	if t.unixNano.Load() != 0 {
+		t.unixNano.Store(0)
 	}
 }
 
-func (s *timestamp) elapsed(now time.Time) time.Duration {
-	return time.Duration(now.UnixNano() - s.unixNano.Load())
+func (t *timestamp) elapsed(now time.Time) time.Duration {
+	return time.Duration(now.UnixNano() - t.unixNano.Load())
 }
 
 // closeIdleLinks periodically closes idle links until the node stops.
 //
 // A daemon talks to a few hosts all the time and to any other host occasionally,
 // as callers' requests are placed. If idle links were kept, each of 3,400 daemons would end up
-// with 3,400 of them, whose buffers would take more memory than its whole control plane.
+// with 3,400 of them, whose buffers would take more than all the memory that a daemon may use for control.
 func (n *Node) closeIdleLinks() {
 	ticker := time.NewTicker(n.idleTimeout / sweepsPerIdleTimeout)
 	defer ticker.Stop()
