--- a/internal/ctl/check/finding.go
+++ b/internal/ctl/check/finding.go
@@ -7,13 +7,13 @@
 
 //go:generate stringer -type=Severity -linecomment
 
-// Severity says whether a daemon would reject the value with the finding.
+// Severity says whether a daemon would reject the list or the settings with the finding.
 type Severity uint8
 
 const (
-	// Fault means that a daemon rejects the value or does not start.
+	// Fault means that a daemon rejects the list, or does not start with the settings.
 	Fault Severity = iota // fault
-	// Warning means that daemons accept the lists, which are probably not what was intended.
+	// Warning means that daemons accept the lists, although they are probably not what was intended.
 	Warning // warning
 )
 
--- a/internal/ctl/check/settings.go
+++ b/internal/ctl/check/settings.go
@@ -9,6 +9,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/app/settings"
 )
 
+// settingsSource is the file name of findings that no line of the environment file causes.
 const settingsSource = "settings"
 
 // Settings returns the faults of a daemon's environment file, which has one
@@ -75,7 +76,7 @@
 	e.found = append(e.found, Finding{Severity: Fault, File: e.name, Line: line, Place: place, Text: text})
 }
 
-// findingOf returns the finding of a problem, with the line of the environment file that set the flag, if one did.
+// findingOf converts a problem to a finding, with the line of the environment file if that set the flag.
 func (e *environment) findingOf(problem string) Finding {
 	place, text, ok := strings.Cut(problem, " ")
 	place = strings.TrimSuffix(place, ":")
--- a/internal/ctl/command/status.go
+++ b/internal/ctl/command/status.go
@@ -53,7 +53,7 @@
 // maxStdinBytes limits what is read of standard input; it is enough for thousands of addresses.
 const maxStdinBytes = 1 << 20
 
-// addressArgs returns the arguments, or the words of standard input if the only argument is -.
+// addressArgs returns the arguments, or the blank-separated fields of standard input if the only argument is -.
 func (a *app) addressArgs(args []string) ([]string, error) {
 	if len(args) != 1 || args[0] != "-" {
 		return args, nil
--- a/internal/ctl/diff/change.go
+++ b/internal/ctl/diff/change.go
@@ -11,9 +11,9 @@
 type Kind uint8
 
 const (
-	// Joins means that the organisation is new on the list of plans.
+	// Joins means that the organisation is new on the plans list.
 	Joins Kind = iota // joins
-	// Leaves means that the organisation is no longer on the list of plans.
+	// Leaves means that the organisation is no longer on the plans list.
 	Leaves // leaves
 	// Plan means that the organisation has another plan.
 	Plan // plan
@@ -23,9 +23,9 @@
 	Burst // burst
 	// Weight means that its weight, which sets its share under overload, changes.
 	Weight // weight
-	// Gains means that it may use a further operation.
+	// Gains means that the organisation may use a further operation.
 	Gains // gains
-	// Loses means that it may no longer use an operation.
+	// Loses means that the organisation may no longer use an operation.
 	Loses // loses
 	// KeyGiven means that a new key of the organisation becomes valid.
 	KeyGiven // keyGiven
@@ -33,7 +33,7 @@
 	KeyWithdrawn // keyWithdrawn
 	// Priority means that the priority of an operation changes: it is shed earlier or later.
 	Priority // priority
-	// Idempotent means that an operation may be retried, or no longer.
+	// Idempotent means that an operation becomes idempotent, so that it may be retried, or is no longer.
 	Idempotent // idempotent
 	// Route means that the service, method or path of an operation changes.
 	Route // route
--- a/internal/ctl/diff/diff.go
+++ b/internal/ctl/diff/diff.go
@@ -26,20 +26,20 @@
 	return all
 }
 
-// listIndex indexes one set of lists by organisation.
+// listIndex has the entries of one set of lists by name: the keys by organisation and hash, and the operations of each plan.
 type listIndex struct {
-	organisations map[string]lists.Organisation
-	operations    map[string]lists.Operation
-	grants        map[string][]string
-	keys          map[string]map[string]lists.Key
+	organisations  map[string]lists.Organisation
+	operations     map[string]lists.Operation
+	planOperations map[string][]string
+	keys           map[string]map[string]lists.Key
 }
 
 func newListIndex(d *draft.Draft) *listIndex {
 	index := &listIndex{
-		organisations: map[string]lists.Organisation{},
-		operations:    map[string]lists.Operation{},
-		grants:        map[string][]string{},
-		keys:          map[string]map[string]lists.Key{},
+		organisations:  map[string]lists.Organisation{},
+		operations:     map[string]lists.Operation{},
+		planOperations: map[string][]string{},
+		keys:           map[string]map[string]lists.Key{},
 	}
 	if d.Plans != nil {
 		for _, o := range d.Plans.Organisations {
@@ -52,7 +52,7 @@
 			index.operations[o.Operation] = o
 		}
 		for _, g := range d.Uses.Plans {
-			index.grants[g.Plan] = g.Operations
+			index.planOperations[g.Plan] = g.Operations
 		}
 	}
 	if d.Keys != nil {
@@ -73,7 +73,7 @@
 // uses returns the operations that the organisation may use under its plan, by name.
 func (x *listIndex) uses(organisation string) map[string]lists.Operation {
 	all := map[string]lists.Operation{}
-	for _, name := range x.grants[x.organisations[organisation].Plan] {
+	for _, name := range x.planOperations[x.organisations[organisation].Plan] {
 		all[name] = x.operations[name]
 	}
 	return all
--- a/internal/ctl/diff/diff_test.go
+++ b/internal/ctl/diff/diff_test.go
@@ -29,7 +29,7 @@
 	return draft.Parse(files)
 }
 
-func TestOf(t *testing.T) {
+func TestCompare(t *testing.T) {
 	cases := []struct {
 		name  string
 		after *draft.Draft
--- a/internal/ctl/draft/line.go
+++ b/internal/ctl/draft/line.go
@@ -33,7 +33,7 @@
 	return 1 + bytes.Count(raw[:begin], []byte("\n"))
 }
 
-// elementRange returns the byte range of an element of one of the value's arrays; end is 0 if there is no such element.
+// elementRange returns the byte range of one element of a top-level array; end is 0 if there is no such element.
 func elementRange(raw []byte, list string, index int) (begin, end int) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if _, err := dec.Token(); err != nil {
--- a/internal/ctl/draft/read.go
+++ b/internal/ctl/draft/read.go
@@ -44,7 +44,7 @@
 }
 
 // Fetch reads the lists that the platform at the address serves now, without those that were never published; the error
-// says why the platform gave no answer.
+// says why the platform did not respond.
 func Fetch(ctx context.Context, address netip.AddrPort) ([lists.Kinds]File, error) {
 	var files [lists.Kinds]File
 	client := platform.New(address, netip.Addr{})
--- a/internal/ctl/key/key.go
+++ b/internal/ctl/key/key.go
@@ -14,7 +14,7 @@
 const prefix = "fxh_"
 
 // minLength is the minimum length in bytes of a key that an organisation
-// already has; a shorter one could be found from its published hash by search.
+// already has; a shorter one could be found from its published hash by exhaustive search.
 const minLength = 20
 
 // Pair is a key with the list entry that publishes its hash.
--- a/internal/ctl/status/fetch.go
+++ b/internal/ctl/status/fetch.go
@@ -27,16 +27,16 @@
 func Fetch(ctx context.Context, operators []netip.AddrPort, timeout time.Duration) []Host {
 	hosts := make([]Host, len(operators))
 	client := &http.Client{Timeout: timeout}
-	slots := make(chan struct{}, maxConcurrent)
-	var all sync.WaitGroup
+	semaphore := make(chan struct{}, maxConcurrent)
+	var fetches sync.WaitGroup
 	for i, address := range operators {
-		slots <- struct{}{}
-		all.Go(func() {
-			defer func() { <-slots }()
+		semaphore <- struct{}{}
+		fetches.Go(func() {
+			defer func() { <-semaphore }()
 			hosts[i] = fetch(ctx, client, address)
 		})
 	}
-	all.Wait()
+	fetches.Wait()
 	return hosts
 }
 
--- a/internal/ctl/status/fleet.go
+++ b/internal/ctl/status/fleet.go
@@ -10,7 +10,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/spread"
 )
 
-// Fleet has the hosts and the concerns, which an operator should look at.
+// Fleet has the status of each host and the concerns: what an operator should look at.
 type Fleet struct {
 	Hosts    []Host   `json:"hosts"`
 	Concerns []string `json:"concerns"`
@@ -50,7 +50,7 @@
 	}
 }
 
-// checkStanding reports a host that takes no callers, with the likely cause.
+// checkStanding reports a host that accepts no callers' requests although it isn't leaving, with the likely cause.
 func (f *Fleet) checkStanding(h Host) {
 	if h.Status.Leaving || h.Status.Ready {
 		return
@@ -65,7 +65,8 @@
 	}
 }
 
-// checkRates reports a host whose part of every organisation's rate is unavailable to all hosts.
+// checkRates reports a host that lends no tokens of its rate shards, and shards of a vanished host that nobody may lend from
+// yet. Either way a fraction of every organisation's rate is unavailable to all hosts.
 func (f *Fleet) checkRates(h Host) {
 	rates := h.Status.Rates
 	if h.Status.Ready && !h.Status.Leaving && !rates.MayLend {
