--- a/internal/proof/architecture/imports_test.go
+++ b/internal/proof/architecture/imports_test.go
@@ -21,8 +21,8 @@
 // decisionAreas are the folders whose packages make decisions and can be tested without sockets, files or a log.
 var decisionAreas = []string{"internal/decide", "internal/domain", "internal/fleet"}
 
-// ioPackages must not be imported by packages of decisionAreas, nor the packages
-// below them, except those in ioExempt, which hold data only.
+// Packages of decisionAreas must not import any of ioPackages nor a package below
+// one of them. ioExempt lists the exceptions, which hold data only.
 var (
 	ioPackages = []string{
 		"net", "os", "log", "syscall", "io/ioutil", "io/fs", "database", "plugin", "testing", "github.com/lesismal/nbio",
@@ -69,7 +69,7 @@
 	return slices.ContainsFunc(roots, func(r string) bool { return name == r || strings.HasPrefix(name, r+"/") })
 }
 
-// forbiddenReason returns why a package of decisionAreas must not import the name, or "" if it may.
+// forbiddenReason returns why a package of decisionAreas must not import the package with that path, or "" if it may.
 func forbiddenReason(name string) string {
 	folder, ownModule := strings.CutPrefix(name, module)
 	switch {
--- a/internal/proof/architecture/platform_test.go
+++ b/internal/proof/architecture/platform_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// platformNames matches a sample of the users' platform's names: headers, keys, fields and terms of its documentation.
+// platformNames matches a sample of the names that the platform uses: headers, keys, fields and terms of its documentation.
 var platformNames = regexp.MustCompile(`(?i)traffic-split|target-instance|op/config|cold-remaining|api-keys|kv-watch|kv-range|tenant|sidecar|` +
 	`not-executed|response-signature|retry-budget|app-addr`)
 
--- a/internal/proof/scenario/mayhem_test.go
+++ b/internal/proof/scenario/mayhem_test.go
@@ -41,14 +41,15 @@
 
 // faultScheduler chooses overlapping faults at random. The seed alone determines the steps.
 type faultScheduler struct {
-	rand   *rand.Rand
-	now    time.Duration
+	rand *rand.Rand
+	now  time.Duration
+	// last is the time of the last step.
 	last   time.Duration
 	active []fault
 	steps  []step
 }
 
-// schedule returns the steps of a test of this length; all faults have ended after the last one.
+// schedule returns the steps of a test of the given length; all faults have ended after the last one.
 func schedule(seed uint64, length time.Duration) []step {
 	s := &faultScheduler{rand: rand.New(rand.NewPCG(seed, seed))}
 	for s.now < length {
@@ -138,6 +139,8 @@
 	return all[s.rand.IntN(len(all))]
 }
 
+// cmdMayhem carries out the schedule for SOAK_SEED, then waits until all hosts are ready. About ten times on the way it reports
+// the memory of measuredHost and the faults so far.
 func cmdMayhem(ts *testscript.TestScript, _ bool, _ []string) {
 	length, err := time.ParseDuration(os.Getenv("SOAK"))
 	ts.Check(err)
--- a/internal/proof/scenario/regions_test.go
+++ b/internal/proof/scenario/regions_test.go
@@ -25,8 +25,8 @@
 		"pacedend":   cmdPacedEnd,   // pacedend ORGANISATION RATE BURST: stop, and print by how many requests the runs exceed rate and burst
 		"regions":    cmdRegions,    // regions: print the number of runs in each region
 		"awaitrow":   cmdAwaitRow,   // awaitrow COUNT PATTERN send...: repeat a send until COUNT consecutive outputs match PATTERN
-		"rising":     cmdRising,     // rising LIST NAME...: check in the logs that no daemon put an older version of the list in force after a newer one
-		"withinPart": cmdWithinPart, // withinPart RATE BURST REGION: check that the streams got at most what the region's rate shards allow, and at least half of it
+		"rising":     cmdRising,     // rising LIST NAME...: check in the logs that each version of the list that a daemon put in force was newer than the one before
+		"withinPart": cmdWithinPart, // withinPart RATE BURST REGION: check that no more of the streams' requests were admitted than the region's rate shards allow, and at least half of their rate
 	}
 }
 
@@ -119,9 +119,10 @@
 	return total
 }
 
-// cmdWithinPart compares what the streams got with the part of one organisation's
-// rate whose shards a region owns. The burst must be a multiple of the number of
-// shards: they have whole tokens, and only then are they equal.
+// cmdWithinPart compares the streams' admitted requests with the fraction of one
+// organisation's rate whose shards a region owns. The burst must be a multiple of
+// the number of shards: a shard's burst is a whole number of tokens, so only then
+// do all shards have the same.
 func cmdWithinPart(ts *testscript.TestScript, _ bool, args []string) {
 	requireArgs(ts, args, 3, "withinPart RATE BURST REGION")
 	perSecond, err := strconv.ParseFloat(args[0], 64)
@@ -131,7 +132,7 @@
 	f := fleetOf(ts)
 	for _, name := range f.resolveNames(args[2]) {
 		if !strings.Contains(statusOf(ts, name), `"mayLend": true`) {
-			ts.Fatalf("%s lends no tokens, so the region's part can't be computed from its shards", name)
+			ts.Fatalf("%s lends no tokens, so the region's share can't be computed from its shards", name)
 		}
 	}
 	regionShards := shardsOf(ts, f.resolveNames(args[2]))
@@ -150,8 +151,8 @@
 	first := slices.MinFunc(spans, func(a, b span) int { return int(a.from - b.from) })
 	last := slices.MaxFunc(spans, func(a, b span) int { return int(a.to - b.to) })
 	minAdmitted := perSecond * share * time.Duration(last.to-first.from).Seconds() / 2
-	ts.Logf("%d of %d shards, %d admitted, want at least %.0f, worst interval exceeds the part by %.1f", regionShards, rate.DefaultShards, len(spans), minAdmitted, excess)
+	ts.Logf("%d of %d shards, %d admitted, want at least %.0f, worst interval exceeds the share by %.1f", regionShards, rate.DefaultShards, len(spans), minAdmitted, excess)
 	if excess > 0 || float64(len(spans)) < minAdmitted {
-		ts.Fatalf("%d admitted with %d of %d shards: worst interval exceeds the part by %.1f, want at least %.0f admitted", len(spans), regionShards, rate.DefaultShards, excess, minAdmitted)
+		ts.Fatalf("%d admitted with %d of %d shards: worst interval exceeds the share by %.1f, want at least %.0f admitted", len(spans), regionShards, rate.DefaultShards, excess, minAdmitted)
 	}
 }
--- a/internal/proof/scenario/soak_test.go
+++ b/internal/proof/scenario/soak_test.go
@@ -99,7 +99,7 @@
 func cmdKeyedEnd(ts *testscript.TestScript, _ bool, _ []string) {
 	l := fleetOf(ts).keyed
 	l.finish()
-	runs, most := keyRuns(ts)
+	runs, maxRuns := keyRuns(ts)
 	neverAccepted, ran := 0, 0
 	for key, all := range l.allNotRun {
 		if all {
@@ -109,5 +109,5 @@
 	}
 	fmt.Fprintf(ts.Stdout(), "keys=%d whole=%d notRun=%d outcomeUnknown=%d crossed=%d broken=%d refused=%d refusedRan=%d untrue=%d most=%d\n",
 		len(runs), l.counts["whole"], l.counts["notRun"], l.counts["outcomeUnknown"], l.counts["crossed"], l.counts["broken"],
-		neverAccepted, ran, l.notRunButRan(ts), most)
+		neverAccepted, ran, l.notRunButRan(ts), maxRuns)
 }
--- a/internal/proof/scenario/stream_test.go
+++ b/internal/proof/scenario/stream_test.go
@@ -19,7 +19,7 @@
 // streamCommands send to several hosts for some time and check what all of them together admitted.
 func streamCommands() map[string]command {
 	return map[string]command{
-		"stream":    cmdStream,    // stream NAME,NAME KEY DURATION CALLS/S [LEAST]: send to each of the hosts in the background, for that time and until LEAST requests were admitted
+		"stream":    cmdStream,    // stream NAME,NAME KEY DURATION CALLS/S [MIN]: send to each of the hosts in the background, for that time and until MIN requests were admitted
 		"streamEnd": cmdStreamEnd, // streamEnd: wait for the streams and print the number of admitted requests by host
 		"within":    cmdWithin,    // within RATE BURST: check that every interval admitted at most burst + rate × length
 		"atLeast":   cmdAtLeast,   // atLeast COUNT: check that all hosts together admitted at least COUNT requests
@@ -55,7 +55,7 @@
 const streamTimeout = 20 * time.Second
 
 func cmdStream(ts *testscript.TestScript, _ bool, args []string) {
-	requireArgs(ts, args, 4, "stream NAME,NAME KEY DURATION CALLS/S [LEAST]")
+	requireArgs(ts, args, 4, "stream NAME,NAME KEY DURATION CALLS/S [MIN]")
 	duration, err := time.ParseDuration(args[2])
 	ts.Check(err)
 	perSecond, err := strconv.ParseFloat(args[3], 64)
--- a/internal/proof/scenario/truth_test.go
+++ b/internal/proof/scenario/truth_test.go
@@ -24,7 +24,7 @@
 // consistencyCommands are the commands of scripts that check whether responses agree with what the upstreams ran.
 func consistencyCommands() map[string]command {
 	return map[string]command{
-		"newkey":   cmdNewKey,   // newkey NAME: set $NAME to an idempotency key that contains its time
+		"newkey":   cmdNewKey,   // newkey NAME: set $NAME to a new idempotency key, which contains the time of its creation
 		"keyruns":  cmdKeyRuns,  // keyruns: print the number of idempotency keys that ran, and the maximum number of runs for one
 		"keyed":    cmdKeyed,    // keyed RATE METHOD PATH key=K: send requests up to three times each, with idempotency keys, to random hosts
 		"keyedend": cmdKeyedEnd, // keyedend: stop, and print the outcomes and the maximum number of runs for one key
@@ -224,8 +224,8 @@
 		strings.Join(l.failures, "\n"))
 }
 
-// keyRuns returns the runs for each idempotency key at all upstreams, and the maximum for one.
-func keyRuns(ts *testscript.TestScript) (runs map[string]int, most int) {
+// keyRuns returns the runs for each idempotency key at all upstreams, and the maximum number for one key.
+func keyRuns(ts *testscript.TestScript) (runs map[string]int, maxRuns int) {
 	f := fleetOf(ts)
 	runs = map[string]int{}
 	for _, name := range f.hostNames {
@@ -236,13 +236,13 @@
 		_ = res.Body.Close()
 		for key, n := range one {
 			runs[key] += n
-			most = max(most, runs[key])
+			maxRuns = max(maxRuns, runs[key])
 		}
 	}
-	return runs, most
+	return runs, maxRuns
 }
 
 func cmdKeyRuns(ts *testscript.TestScript, _ bool, _ []string) {
-	runs, most := keyRuns(ts)
-	fmt.Fprintf(ts.Stdout(), "keys=%d most=%d\n", len(runs), most)
+	runs, maxRuns := keyRuns(ts)
+	fmt.Fprintf(ts.Stdout(), "keys=%d most=%d\n", len(runs), maxRuns)
 }
