--- a/doc.go
+++ b/doc.go
@@ -4,6 +4,6 @@
 // New takes options, Run serves until its context is done. The coordination
 // algorithms can be used without the daemon; each is a package below parts.
 //
-// This package and parts lie outside internal/, the house rule for all other
-// packages, since other modules must be able to import them.
+// Packages belong under internal/ unless other modules must be able to import
+// them, as they must this one and those below parts.
 package foxtailhook
--- a/option.go
+++ b/option.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// WithListeners sets the listen addresses for callers, peers and operators.
+// WithListeners sets the listen addresses for callers, peers and operators; peers is also the address that other daemons connect to.
 func WithListeners(callers, peers, operators netip.AddrPort) Option {
 	return func(d *Daemon) {
 		d.settings.Callers, d.settings.Peers, d.settings.Operators = callers, peers, operators
--- a/parts/admission/admission.go
+++ b/parts/admission/admission.go
@@ -10,8 +10,8 @@
 // Gate is the concurrency limit and the queue of one upstream; it is safe for
 // concurrent use.
 //
-// Arrive decides on a new request, Leave takes a request whose time is up out
-// of the queue, and Settle records the end of a run and starts waiting requests.
+// Arrive decides on a new request, Leave ends the wait of one that has expired or
+// whose caller has given up, and Settle records the end of a run and starts waiting requests.
 type Gate = admission.Gate
 
 // Ticket is one request at a gate; it must not be copied, nor reused before the request is over.
@@ -23,7 +23,7 @@
 // Decision is a verdict, with the reason and the Retry-After delay of a refusal.
 type Decision = admission.Decision
 
-// Result is the result of a run.
+// Result says how a run ended: the upstream's own time, and whether it ran the request at all.
 type Result = admission.Result
 
 // Option configures a gate.
--- a/parts/budget/example_test.go
+++ b/parts/budget/example_test.go
@@ -6,8 +6,8 @@
 	"github.com/foxtailhook/foxtailhook/parts/budget"
 )
 
-// A request may cause eight runs. The first attempt passes runs to the next
-// hop, whose response returns the unused ones; a lost response returns none.
+// A request may cause eight runs. Each attempt passes runs to the next hop,
+// whose response returns the unused ones; a lost response returns none.
 func ExampleAccount() {
 	account := budget.New(8)
 
@@ -18,13 +18,13 @@
 
 	runs, _ = account.Draw(2)
 	account.Settle(runs, 0) // the response was lost.
-	fmt.Println("goes back up with the answer:", account.Close())
+	fmt.Println("returned with the response:", account.Close())
 
 	runs, wait := account.Draw(1)
 	fmt.Println("after the end:", runs, wait)
 	// Output:
 	// sent with the first attempt: 4
 	// left: 5
-	// goes back up with the answer: 1
+	// returned with the response: 1
 	// after the end: 0 <nil>
 }
--- a/parts/limit/limit.go
+++ b/parts/limit/limit.go
@@ -15,8 +15,8 @@
 // baseline; its limit never exceeds the ceiling, in concurrent requests.
 func NewGradient(ceiling int) Learner { return limit.NewGradient(ceiling) }
 
-// NewAIMD returns a learner that raises its limit by one in a busy window, up to the ceiling, and lowers it by a tenth in
-// one with signs of overload.
+// NewAIMD returns a learner that raises its limit by one after a busy window, up to the ceiling, and lowers it by a tenth
+// after one with signs of overload.
 func NewAIMD(ceiling int) Learner { return limit.NewAIMD(ceiling) }
 
 // NewFixed returns a learner with a constant limit.
--- a/parts/queue/example_test.go
+++ b/parts/queue/example_test.go
@@ -6,8 +6,9 @@
 	"github.com/foxtailhook/foxtailhook/parts/queue"
 )
 
-// A maker's many campaign files arrived first; the dealer's lookup, of a higher
-// priority, waits for none of them, and another maker's file for one.
+// Three campaign files of one maker arrived first. The dealer's lookup has a
+// higher priority and is served before all of them; another maker's file waits
+// for only one of them.
 func ExampleNew() {
 	q := queue.New[string]()
 	push := func(organisation, work string, p queue.Priority) {
--- a/parts/queue/queue.go
+++ b/parts/queue/queue.go
@@ -5,11 +5,11 @@
 	"github.com/foxtailhook/foxtailhook/internal/domain/call"
 )
 
-// Queue is an order of service; it isn't safe for concurrent use.
+// Queue holds waiting requests and decides their order; it isn't safe for concurrent use.
 //
-// Push adds an item, Pop removes and returns the one to serve next or returns
-// nil, Remove removes one that no longer waits, and Victim returns the one to
-// evict from a full queue.
+// Push adds an item, Pop removes and returns the one to serve next, or returns
+// nil if the queue is empty. Remove removes one that no longer waits, and Victim
+// returns the one to evict from a full queue.
 type Queue[T any] = queue.Queue[T]
 
 // Item is one waiting request; Cost is the expected time in a slot, in any unit that all items share, such as seconds.
@@ -25,7 +25,7 @@
 	Interactive = call.Interactive
 )
 
-// New returns an empty fair queue: the highest priority first, except that one
-// turn in 32 serves the others, and within a priority each organisation by its
-// weight.
+// New returns an empty fair queue. It serves the highest priority first, except
+// that one item in 32 is of a lower priority, and shares each priority between
+// organisations by weight.
 func New[T any]() Queue[T] { return queue.NewFair[T]() }
--- a/parts/rate/example_test.go
+++ b/parts/rate/example_test.go
@@ -67,8 +67,8 @@
 		exchange(fleet, now)
 	}
 	fmt.Println("within burst and rate:", admitted <= 30+30*seconds)
-	fmt.Println("most of it is used:", admitted > 30*seconds/2)
+	fmt.Println("at least half of the rate is used:", admitted > 30*seconds/2)
 	// Output:
 	// within burst and rate: true
-	// most of it is used: true
+	// at least half of the rate is used: true
 }
--- a/parts/rate/rate.go
+++ b/parts/rate/rate.go
@@ -7,8 +7,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/fleet/rate"
 )
 
-// Home is the part of a host that owns rate shards and lends their tokens; it
-// must be used by one goroutine at a time.
+// Home owns the rate shards of one host and lends their tokens; it must be used by one goroutine at a time.
 //
 // SetList and SetPlans set the hosts and organisations. NextAsk, Statement,
 // AnswerStatement and Hear exchange statements, by which homes agree on who may
@@ -29,7 +28,8 @@
 // Spending is the outcome of Borrower.Spend.
 type Spending = rate.Spending
 
-// The outcomes: a token was taken; this borrower has none, but homes may have some; no home has any yet.
+// The outcomes: a token was taken; this borrower has none, but homes may have some; none is available before the returned wait has
+// passed.
 const (
 	Spent   = rate.Spent
 	Dry     = rate.Dry
--- a/parts/spread/spread.go
+++ b/parts/spread/spread.go
@@ -24,7 +24,7 @@
 // Digest is what a host reports to a peer about itself and its versions.
 type Digest = spread.Digest
 
-// News is a host's own statement on whether it is leaving, passed on by other hosts.
+// News is a host's own statement on whether it is leaving, relayed by other hosts.
 type News = member.News
 
 // Work is what the embedding program has to carry out.
@@ -72,12 +72,12 @@
 // Host is one host of the fleet.
 type Host = lists.Host
 
-// Standing says whether a host has reason to believe that its values are current.
+// Standing says whether a host's values were confirmed as current.
 type Standing = spread.Standing
 
 // The standings: not yet confirmed since the start; confirmed; not yet confirmed
-// since a pause of the process; without any answer for longer than
-// Config.IsolationTime.
+// since a pause of the process; no answer from a peer or the source for longer
+// than Config.IsolationTime.
 const (
 	Starting = spread.Starting
 	Serving  = spread.Serving
@@ -85,7 +85,8 @@
 	Isolated = spread.Isolated
 )
 
-// New returns a core without data that starts at the given time; rng keeps hosts that start together from acting in step.
+// New returns a core without data that starts at the given time; rng varies its timing, so that hosts that start together
+// don't act at the same times.
 func New(c Config, rng *rand.Rand, now time.Time) *Core { return spread.New(c, rng, now) }
 
 // Ranked returns an availability zone's hosts that aren't leaving, in the order in which they become readers of the source.
--- a/settings.go
+++ b/settings.go
@@ -6,7 +6,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/app/settings"
 )
 
-// Settings has all settings of a daemon; docs/OPERATIONS.md lists each with unit, default and bounds.
+// Settings has all settings of a daemon; docs/SETTINGS.md lists each with unit, default and bounds.
 type Settings = settings.Settings
 
 // Problems is the error of invalid settings, with one text for each fault.
