--- a/internal/app/daemon/dispatch.go
+++ b/internal/app/daemon/dispatch.go
@@ -37,8 +37,8 @@
 	return answer
 }
 
-// sendWithRetries retries the request on another host only if it certainly did not run, or if its response was lost
-// and the operation is idempotent.
+// sendWithRetries retries the request on another host only if it certainly did not run for a temporary reason, or if its
+// response was lost and the operation is idempotent.
 func (d *Daemon) sendWithRetries(ctx context.Context, a admittedRequest) call.Answer {
 	tried := make([]string, 0, attemptsPerHop)
 	answer := call.Refuse(call.NoUpstream, time.Second)
--- a/internal/app/daemon/handoff.go
+++ b/internal/app/daemon/handoff.go
@@ -53,7 +53,7 @@
 const (
 	// reserveDivisor makes a reserve at most a tenth of the remaining time.
 	reserveDivisor = 10
-	// maxReturnTime bounds the time reserved for a reply's way back.
+	// maxReturnTime bounds the time set aside for a reply's way back.
 	maxReturnTime = 5 * time.Millisecond
 )
 
@@ -64,7 +64,7 @@
 	return remaining - reserve(remaining, maxReturnTime)
 }
 
-// reserve returns the fraction of the remaining time that is set aside for a reply, at most the maximum.
+// reserve returns how much of the remaining time is set aside for a reply: 1/reserveDivisor of it, but at most the maximum.
 func reserve(remaining, maximum time.Duration) time.Duration {
 	return min(remaining/reserveDivisor, maximum)
 }
--- a/internal/app/router/beats.go
+++ b/internal/app/router/beats.go
@@ -38,7 +38,8 @@
 	settled bool
 
 	mu sync.Mutex
-	// unavailableHosts has the hosts whose daemons are leaving or missing according to the last reply; missing is the number of the latter.
+	// unavailableHosts has the hosts whose daemons are leaving or missing according to the last reply, and missing is the number of missing
+	// ones.
 	unavailableHosts map[netip.Addr]bool
 	missing          int
 	// avoidedUntil has the collectors that did not reply, with the time from which they are tried again.
@@ -52,11 +53,12 @@
 }
 
 const (
-	// heartbeatTimeout bounds one heartbeat: a round trip between availability zones, and a lost packet.
+	// heartbeatTimeout bounds the wait for a reply: enough for a round trip between availability zones and one lost packet.
 	heartbeatTimeout = 400 * time.Millisecond
 	// avoidTTL is how long a collector that did not reply is skipped.
 	avoidTTL = 3 * time.Second
-	// maxHeartbeatsPerInterval is the maximum number of heartbeats in one regular interval, early ones included.
+	// maxHeartbeatsPerInterval is the maximum number of heartbeats in one regular interval, counting those requested with triggerEarly; those
+	// requested with trigger come on top.
 	maxHeartbeatsPerInterval = 3
 	// maxCollectorsTried is the maximum number of collectors that are tried for one heartbeat, in order, until one replies.
 	maxCollectorsTried = 3
@@ -213,6 +215,7 @@
 	}
 }
 
+// avoid skips the host as a collector for avoidTTL, since it did not reply, and drops the last plan of another collector.
 func (r *reporter) avoid(host netip.Addr, err error) {
 	r.collector.DropPlan()
 	r.mu.Lock()
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -96,9 +96,9 @@
 }
 
 // requestChanges asks another daemon for what it has beyond this one.
-func (c *control) requestChanges(from netip.AddrPort, limit time.Duration) (fetchReply, bool) {
+func (c *control) requestChanges(from netip.AddrPort, timeout time.Duration) (fetchReply, bool) {
 	view := c.router.view.Load()
-	ctx, cancel := context.WithTimeout(c.ctx, limit)
+	ctx, cancel := context.WithTimeout(c.ctx, timeout)
 	defer cancel()
 	reply, err := peer.Call[fetchRequest, fetchReply](ctx, c.router.peers, from, peer.KindChanges, fetchRequest{Version: version(view), Revision: view.Revision})
 	if err != nil {
--- a/internal/app/router/front.go
+++ b/internal/app/router/front.go
@@ -34,7 +34,9 @@
 	deadline time.Time
 	// priority is that of the caller's request; a sub-call inherits it.
 	priority call.Priority
-	subcall  bool
+	// subcall means that the instance on this host makes the request while it runs another. A request without an organisation's key counts
+	// as one if the configuration has organisations.
+	subcall bool
 	// root is the route of the caller's request: inherited for a sub-call, otherwise the request's own.
 	root string
 	// parent is the run on this host's instance that made the sub-call, as far as it is known.
@@ -269,8 +271,8 @@
 	_, _ = w.Write(answer.Body)
 }
 
-// status returns the response's HTTP status. A request that did not run for lack of time gets 503: 504 guarantees nothing, so the caller
-// would have to find out whether, say, a payment was made that never started.
+// status returns the response's HTTP status. A request that did not run for lack of time gets 503: a 504 leaves open whether it ran, so the
+// caller would have to find out what became of, say, a payment that was never started.
 func status(answer call.Answer) int {
 	if answer.Outcome == call.NotRun && answer.Status == http.StatusGatewayTimeout {
 		return http.StatusServiceUnavailable
--- a/internal/app/router/message.go
+++ b/internal/app/router/message.go
@@ -63,8 +63,8 @@
 // fetchReply is the reply to a fetchRequest.
 type fetchReply struct {
 	Changes catalog.Changes `msgpack:"changes"`
-	// Whole means that the daemon has a configuration and instances, StoreAge is the age of its or its collector's information from the
-	// store.
-	Whole    bool          `msgpack:"whole"`
+	// Whole means that the daemon has a configuration and instances.
+	Whole bool `msgpack:"whole"`
+	// StoreAge is the age of the newer of two snapshots of the configuration store: the daemon's own and its collector's.
 	StoreAge time.Duration `msgpack:"storeAge"`
 }
--- a/internal/app/router/record.go
+++ b/internal/app/router/record.go
@@ -15,7 +15,7 @@
 	"github.com/foxtailhook/foxtailhook/internal/wire/httpd"
 )
 
-// attempts logs the attempts of a request.
+// attempts are the attempts of a request, for its log line.
 type attempts []attempt
 
 // attempt is one attempt.
