--- a/internal/decide/admission/gate.go
+++ b/internal/decide/admission/gate.go
@@ -28,7 +28,7 @@
 	counts    Counts
 }
 
-// Counts are totals since the start, for metrics.
+// Counts are totals since the start, for metrics. Refused includes Evicted and Expired, and Ran includes Shed.
 type Counts struct {
 	Ran     uint64
 	Waited  uint64
--- a/internal/decide/allot/divide.go
+++ b/internal/decide/allot/divide.go
@@ -22,7 +22,7 @@
 const (
 	// slots are the service's concurrency slots.
 	slots resourceKind = iota // slots
-	// retries counts the retries that the fleet may send to the service, per second.
+	// retries are the retries per second that the fleet may send to the service.
 	retries // repeats
 )
 
--- a/internal/decide/allot/planner.go
+++ b/internal/decide/allot/planner.go
@@ -74,8 +74,8 @@
 	// recoveryGain is added to the upward exponent, in proportion to the fraction of slots that the correction takes away: a correction
 	// that takes half of the slots mostly stems from moments when the costs were unknown.
 	recoveryGain = 1.5
-	// From overloadSaturation on, a service counts as overloaded regardless of the plan. Its correction then has one exponent per second
-	// if the last plan left the service unconstrained, and a smaller one if the plan already limited it.
+	// A service that exceeds overloadSaturation is overloaded whatever the plan expected. Its correction then moves by
+	// unplannedOverloadExponent per second, or by plannedOverloadExponent if the last plan already limited the service.
 	overloadSaturation        = 1.6
 	unplannedOverloadExponent = 0.3
 	plannedOverloadExponent   = 0.2
--- a/internal/decide/budget/account.go
+++ b/internal/decide/budget/account.go
@@ -19,8 +19,8 @@
 	changed chan struct{}
 }
 
-// spareNumerator over spareDenominator is the fraction of its proportional share of the spare runs that one draw may take beyond its
-// need, for retries below it. The rest is left for its own retry, since the runs that it takes are lost with its response.
+// Beyond its need, one draw may take spareNumerator/spareDenominator of its proportional share of the spare runs, for retries below it.
+// The rest is left for a retry of the attempt itself, since the runs that it takes are lost with its response.
 const (
 	spareNumerator   = 3
 	spareDenominator = 4
--- a/internal/decide/choice/choice.go
+++ b/internal/decide/choice/choice.go
@@ -44,6 +44,7 @@
 
 // record holds a daemon's observations of one incarnation of an instance.
 type record struct {
+	// outstanding is the number of this daemon's requests to the instance that have not ended.
 	outstanding int
 	// load is the latest load reported by the instance's host; otherRequests is that load without this daemon's own requests.
 	load          call.Load
@@ -82,10 +83,9 @@
 	// sampleSize is how many instances are compared for one request. With two, a slow one is still picked when both are slow; with
 	// all, every daemon would send to the same one until it receives newer loads.
 	sampleSize = 3
-	// localPreference is how many times the score of the best instance in other availability zones an instance in the daemon's own may
-	// have and still be preferred: on the way to another availability zone more can fail, and the response takes longer. The limit is
-	// spareLocalPreference while the local instance has free slots and the request is expected to finish within spareTimeFraction of its
-	// remaining time.
+	// An instance in the daemon's own availability zone is preferred up to localPreference times the score of the best one elsewhere: on
+	// the way to another availability zone more can fail, and the response takes longer. The factor is spareLocalPreference while the
+	// local instance has free slots and the request is expected to finish within spareTimeFraction of its remaining time.
 	localPreference      = 1.3
 	spareLocalPreference = 2.5
 	spareTimeFraction    = 0.6
@@ -103,7 +103,8 @@
 	// busyThreshold is the fraction of slots in use from which on an instance counts as slower: requests take different times, so
 	// queueing begins before all slots are in use.
 	busyThreshold = 0.7
-	// busyPenalty is how much the expected time grows for each multiple of the slots beyond the threshold.
+	// busyPenalty multiplies the excess over busyThreshold: the expected time is 1 + busyPenalty * excess times as long, 2.2 times with
+	// all slots in use.
 	busyPenalty = 4.0
 	// loadTTL is how long a reported load counts in full; an older one counts half. Several requests per second usually refresh it.
 	loadTTL = time.Second
@@ -116,8 +117,8 @@
 	defaultLatency = 0.05
 )
 
-// Pick returns the instance for a request with the remaining time before its deadline, or false if there is none. The excluded
-// instances, by ID, have already been sent the request.
+// Pick returns the instance for a request with the remaining time before its deadline, or false if there is none. It never returns one
+// of the excluded instances, by ID: these have already been sent the request.
 func (b *Balancer) Pick(instances []routing.Instance, excluded map[string]bool, remaining time.Duration, now time.Time) (routing.Instance, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -302,7 +303,8 @@
 	r.latency += (seconds - r.latency) * latencyWeight
 }
 
-// SetInstances replaces the list of instances: records of ended incarnations are removed, and new instances count as cold for ColdFor.
+// SetInstances replaces the list of instances. It removes the records of ended incarnations that have no outstanding requests, and from
+// now on each instance counts as cold for its ColdFor.
 func (b *Balancer) SetInstances(instances []routing.Instance, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/decide/placing/group.go
+++ b/internal/decide/placing/group.go
@@ -22,7 +22,8 @@
 	// meanByOperation and meanLatency are the mean latency over all hosts in seconds, by operation and for all requests.
 	meanByOperation map[string]float64
 	meanLatency     float64
-	meanLimit       float64
+	// meanLimit is the mean of the concurrency limits that the hosts report.
+	meanLimit float64
 	// turn counts the hosts chosen by round robin.
 	turn int
 }
@@ -33,8 +34,8 @@
 	meanLimitWeight   = 0.05
 )
 
-// setHosts replaces the host list. Hosts that stay keep their state, and hosts that are added after the first list ramp up. The same slice
-// means the same list.
+// setHosts replaces the host list, unless it is the same slice as before. Hosts that stay keep their state, and hosts that are added after
+// the first list ramp up.
 func (g *group) setHosts(hosts []lists.Host, location position, now time.Time) {
 	if len(hosts) == len(g.hosts) && (len(hosts) == 0 || &hosts[0] == &g.hosts[0]) {
 		return
@@ -60,7 +61,8 @@
 	g.byName = byName
 }
 
-// add adds a host to the lists of its region and availability zone; one whose entry names no region counts as in the same region.
+// add adds a host to the lists of its region and availability zone. If its region or the daemon's is unknown, it counts as in the same
+// region.
 func (g *group) add(m *member, location position) {
 	g.members = append(g.members, m)
 	if location.region != anyRegion && m.host.Region != anyRegion && m.host.Region != location.region {
--- a/internal/decide/pressure/throttle.go
+++ b/internal/decide/pressure/throttle.go
@@ -24,7 +24,7 @@
 
 const (
 	// successMultiplier is the ratio of admitted requests to recent successes. It bounds the work that may fail deep in the chain during
-	// overload, and detects its end: the successes then double every half-life. With a lower value, failures of two in
+	// overload, and lets admissions recover after it: the successes then double every half-life. With a lower value, failures of two in
 	// five requests that don't depend on the load would cause lasting rejections.
 	successMultiplier = 2
 	// minHalfLife and maxHalfLife bound the half-life of the counts. A long one causes rejections after the overload has ended; a short one
--- a/internal/decide/quota/pool.go
+++ b/internal/decide/quota/pool.go
@@ -64,7 +64,8 @@
 	surplusSpendTime = 400 * time.Millisecond
 	debtRepayTime    = time.Second
 	// marginFraction of the rate and marginRate, in requests per second, are allowed beyond the rate, so that an organisation near its rate
-	// isn't limited when its demand looks higher for a moment. The resulting debt is paid back, so they add to a window only once.
+	// isn't limited when its demand looks higher for a moment. The resulting debt is paid back, so over any period they add to what the rate
+	// allows only once.
 	marginFraction = 0.1
 	marginRate     = 3.0
 	// maxDebt bounds the debt for requests admitted before the collector knew of them, as the time in which the rate pays it back: an
@@ -149,7 +150,7 @@
 	p.totals[name] = total
 }
 
-// Totals returns the sums of the daemons' own counts, and for how long the pool has been counting.
+// Totals returns the sums of the daemons' own counts, without idle organisations, and for how long the pool has been counting.
 func (p *Pool) Totals(now time.Time) (counts map[string]Count, up time.Duration) {
 	counts = make(map[string]Count, len(p.totals))
 	for name, c := range p.totals {
--- a/internal/decide/quota/rate.go
+++ b/internal/decide/quota/rate.go
@@ -1,6 +1,6 @@
 package quota
 
-// RateLimit is an organisation's rate limit over the whole fleet; zero means no limit.
+// RateLimit is an organisation's rate limit over the whole fleet; a PerSecond of 0 means no limit.
 type RateLimit struct {
 	// PerSecond is in requests per second, and Burst in requests.
 	PerSecond float64
--- a/internal/decide/repeats/repeats.go
+++ b/internal/decide/repeats/repeats.go
@@ -193,16 +193,16 @@
 	}
 }
 
-// Grant returns the retry rate granted to a daemon. If the fleet earns less than it wants, no daemon gets more than limit, as returned
+// Grant returns the retry rate granted to a daemon. If the fleet earns less than it wants, no daemon gets more than fairCap, as returned
 // by FairCap: daemons that need one retry for each request aren't cut in favour of those that need many.
-func Grant(fleet, own Rates, limit float64) float64 {
+func Grant(fleet, own Rates, fairCap float64) float64 {
 	if fleet.Wanted >= fleet.Earned {
-		return min(own.Wanted, limit)
+		return min(own.Wanted, fairCap)
 	}
 	return own.Wanted + (fleet.Earned-fleet.Wanted)*own.Earned/max(fleet.Earned, negligibleRate)
 }
 
-// FairCap returns the max-min fair limit: the largest cap on each demand such that the capped demands add up to no more than earned.
+// FairCap returns the max-min fair cap: the largest cap on each demand such that the capped demands add up to no more than earned.
 func FairCap(wanted []float64, earned float64) float64 {
 	slices.Sort(wanted)
 	for n, w := range wanted {
--- a/internal/decide/shed/shed.go
+++ b/internal/decide/shed/shed.go
@@ -176,7 +176,7 @@
 }
 
 // Observe records the response to a request of the class: the saturation of the most saturated service on its call path, and whether
-// one of its sub-calls was refused.
+// one of its sub-calls was refused. It changes the admitted fraction only in fallback mode.
 func (s *Shedder) Observe(class Class, saturation float64, refused bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
