--- a/internal/fleet/catalog/catalog.go
+++ b/internal/fleet/catalog/catalog.go
@@ -173,8 +173,9 @@
 	return dropped
 }
 
-// Since returns all changes after the revision, for another daemon. They include the pending removals. If these were sent only once they
-// are final, their revisions would be older than what the other daemon has by then, and it would never receive them.
+// Since returns what another daemon lacks that has the given version of the configuration and all entries up to the revision. Pending
+// removals are included. If these were sent only once they are final, their revisions would be older than what the other daemon has by
+// then, and it would never receive them.
 func (c *Catalog) Since(version, revision uint64, now time.Time) Changes {
 	changes := Changes{Revision: c.revision}
 	if c.Version() > version {
--- a/internal/fleet/collect/collector.go
+++ b/internal/fleet/collect/collector.go
@@ -45,7 +45,8 @@
 	planner     *allot.Planner
 	allocations []shed.Allocation
 	plannedAt   time.Time
-	observedAt  time.Time
+	// observedAt is when the observer last received the shortages of a plan.
+	observedAt time.Time
 	// work is what the group's instances have done since the last group heartbeat, by service.
 	work map[string]Work
 	// leavingReports has the last report of each daemon on hosts whose daemons are shutting down.
--- a/internal/wire/httpd/bounds.go
+++ b/internal/wire/httpd/bounds.go
@@ -29,17 +29,17 @@
 	s.bounds.Store(&bounds)
 }
 
-// EndIdle closes the connections that have been idle for longer than IdleTime; it must be called regularly.
+// EndIdle closes the connections that have been idle for IdleTime, and at least for minIdleTime; it must be called regularly.
 //
 // Otherwise callers that never return would use up the file descriptors. A caller whose next request arrives while its
 // connection is closed receives a response that the request wasn't run, and retries it.
 func (s *Server) EndIdle(now time.Time) {
-	limit := s.bounds.Load().IdleTime
-	if limit <= 0 {
+	idleTime := s.bounds.Load().IdleTime
+	if idleTime <= 0 {
 		return
 	}
 	s.guards.Range(func(_, value any) bool {
-		value.(*guard).closeIfIdle(now, max(limit, minIdleTime))
+		value.(*guard).closeIfIdle(now, max(idleTime, minIdleTime))
 		return true
 	})
 }
