--- a/internal/decide/allot/surge_test.go
+++ b/internal/decide/allot/surge_test.go
@@ -159,7 +159,7 @@
 			So(after[payments].completedFraction(), ShouldBeGreaterThan, c.minPayments)
 			So(after[payments].completedFraction(), ShouldBeGreaterThan, after[lookups].completedFraction())
 			So(after[photos].completedFraction(), ShouldBeGreaterThan, 0.99)
-			// Lookups keep a minimum: 0.4 of what they would get if all classes were equal.
+			// Lookups keep a minimum, 0.42 (equalShare) of what they would get if all classes were equal; the bound is a little lower.
 			So(after[lookups].completedFraction(), ShouldBeGreaterThan, 0.4*60/(45*c.surgeFactor))
 		}
 	})
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -18,7 +18,7 @@
 			So(f.peakWindow(), ShouldBeLessThanOrEqualTo, maxAdmitted(f.rate))
 		})
 	})
-	// Guards against refusing more than the excess.
+	// Guards against overcautious allocations that lose a part of the rate: what exceeds the rate is refused, the rate itself isn't.
 	Convey("An organisation that sends many times its rate still gets its rate", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(8*time.Second, 1)
@@ -27,7 +27,7 @@
 			So(float64(len(f.admitted)), ShouldBeGreaterThan, 0.9*20*f.rate.PerSecond)
 		})
 	})
-	// Guards against a new burst allowance each time many clients move to other daemons.
+	// Guards against taking each move of many clients to other daemons for a new surge, or granting a fresh burst for it.
 	Convey("The bound holds while clients move", t, func() {
 		eachFleet(func(f *fleet) {
 			f.play(8*time.Second, 1)
--- a/internal/decide/repeats/repeats_test.go
+++ b/internal/decide/repeats/repeats_test.go
@@ -46,7 +46,7 @@
 
 func TestRetriedSubCallsAreCharged(t *testing.T) {
 	// Guards against retries that multiply along the call path: lookups use their full retry budget, each calls a second
-	// service that fails too, and its sub-calls would use a full budget again.
+	// service that fails too, and its sub-calls would use a full budget again: twice the budget in all.
 	Convey("Sub-calls of retried runs are charged to the budget of the service that they call", t, func() {
 		limits := Limits{Ratio: 0.2, Slack: 48, Window: 10 * time.Second}
 		rng := rand.New(rand.NewPCG(1, 9))
