--- a/internal/app/telemetry/log_test.go
+++ b/internal/app/telemetry/log_test.go
@@ -67,8 +67,8 @@
 }
 
 func TestBufferedLosesNoLine(t *testing.T) {
-	// Guards against losing the last lines at a shutdown: they are still in the
-	// buffer and hold the outcomes of the last requests.
+	// Guards against losing the last lines at a shutdown: those of the last tenth of a
+	// second are still in the buffer and hold the outcomes of the last requests.
 	Convey("After Close, all earlier lines are written, and later ones are written at once", t, func() {
 		var out bytes.Buffer
 		b := NewBuffered(&out)
--- a/internal/fleet/collect/fleet_test.go
+++ b/internal/fleet/collect/fleet_test.go
@@ -33,7 +33,7 @@
 		})
 	})
 	// Guards against a fleet without plans until a collector that was lost is back, or its instance's entry has expired.
-	Convey("One heartbeat interval and half a second after the first collectors are killed, all daemons have a plan of the others again", t, func() {
+	Convey("One heartbeat interval, one group interval and half a second after the first collectors are killed, all daemons have a plan of the others again", t, func() {
 		eachSize(func(size int) {
 			f := newFleet(size, 1, 1)
 			f.warmUp()
@@ -102,7 +102,7 @@
 			So(wrong, ShouldEqual, 0)
 		})
 	})
-	Convey("A daemon that is back is no longer listed as missing after two heartbeats", t, func() {
+	Convey("A daemon that is back is no longer listed as missing two heartbeat intervals and a group interval later", t, func() {
 		eachSize(func(size int) {
 			f := newFleet(size, 1, 1)
 			f.warmUp()
