--- a/internal/wire/httpd/stop_test.go
+++ b/internal/wire/httpd/stop_test.go
@@ -174,7 +174,7 @@
 
 func TestStopWhileAnAnswerIsWritten(t *testing.T) {
 	// Guards against a connection that counts as idle between the end of a handler and the writing of its response:
-	// closed at that moment during shutdown, it lost the response to a request that had run.
+	// closed at that moment during shutdown, on a busy machine that delays the write, it lost the response to a request that had run.
 	running := make(chan int, 1)
 	s, stop := startStoppable(t, func(w http.ResponseWriter, _ *http.Request) {
 		g := w.(*responseWriter).guard
--- a/internal/wire/peer/bound_test.go
+++ b/internal/wire/peer/bound_test.go
@@ -39,8 +39,8 @@
 }
 
 func TestLinksAreBounded(t *testing.T) {
-	// Over a day a daemon forwards requests to every host of the fleet.
-	// Without a bound it would keep a connection to each.
+	// A daemon's callers use every service in turn, so over a day it forwards requests to
+	// every host of the fleet. Without a bound it would keep a connection to each.
 	Convey("A node keeps at most its maximum of links, and all calls succeed", t, func() {
 		client, _ := startNode(t, WithMaxLinks(3))
 		var peers []netip.AddrPort
--- a/internal/wire/peer/silent_test.go
+++ b/internal/wire/peer/silent_test.go
@@ -67,8 +67,9 @@
 func (f writerFunc) Write(p []byte) (int, error) { return f(p) }
 
 func TestDroppedLinkFinishesCallsInFlight(t *testing.T) {
-	// A switch fails, and the connections through it stay open though nothing gets through. If a dropped link
-	// took new calls until it had none in flight, under load it would never be replaced, not even after the switch was.
+	// A switch fails, and the connections through it stay open though nothing gets through. The digest to the host is
+	// lost, so its link is dropped, but some call is always in flight on it. If the link took new calls for as long as it
+	// has any in flight, all of them would be lost on it, also after the switch is replaced.
 	Convey("A dropped link takes no new calls, completes those in flight, and then is closed", t, func() {
 		begun, release := make(chan struct{}), make(chan struct{})
 		client, server := startPair(t, func(_ context.Context, _ netip.AddrPort, m message) message {
