--- a/internal/wire/peer/handshake_test.go
+++ b/internal/wire/peer/handshake_test.go
@@ -26,8 +26,8 @@
 
 func TestSecrets(t *testing.T) {
 	// Without the fleet's secret, a process that reaches the peer port must not be able to
-	// forward requests, for which it could choose the organisation and the budget. While operators change the secret, hosts with the old and
-	// hosts with the new one must still accept each other.
+	// forward requests, for which it could choose the organisation and the budget. While
+	// operators change the secret, hosts with the old and hosts with the new one must still accept each other.
 	cases := []struct {
 		name     string
 		dialer   []string
