--- a/internal/domain/call/outcome.go
+++ b/internal/domain/call/outcome.go
@@ -100,6 +100,11 @@
 	}
 }
 
+// ComeBack is the former name of Temporary.
+//
+// Deprecated: use Temporary.
+func (r Reason) ComeBack() bool { return r.Temporary() }
+
 // Overload reports whether the reason is an overload: a lack of capacity to run the request in time.
 func (r Reason) Overload() bool {
 	switch r {
